--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -69,17 +69,17 @@
         self._pool = ConnectionPool(names)
         self._availability: OrderedDict[str, Availability] = OrderedDict()
 
-    def is_resting(self, instance: Instance) -> bool:
+    def is_backing_off(self, instance: Instance) -> bool:
         """Whether a replica asked this process for rest, so that nothing is to be sent there."""
         known = self._availability.get(instance.instance_id)
-        return known is not None and known.is_resting(monotonic_s())
+        return known is not None and known.is_backing_off(monotonic_s())
 
     async def call(self, instance: Instance, message: bytes, timeout_s: float) -> CallAnswer | None:
         """Send one whole HTTP message and return the answer; None when none came in time.
 
         Nothing is sent to a replica that rests; that, too, brings no answer.
         """
-        if self.is_resting(instance):
+        if self.is_backing_off(instance):
             return None
         answer = await self._exchange(instance, message, timeout_s)
         if answer is not None:
@@ -88,9 +88,9 @@
 
     def _take_signals(self, instance: Instance, answer: CallAnswer) -> None:
         signals = read_signals(answer.status, answer.headers, self._names, wall_s())
-        if signals.rest_s > 0.0:
-            self._note_rest(instance, answer.status, signals.rest_s)
-        if signals.is_leaving:
+        if signals.backoff_s > 0.0:
+            self._note_rest(instance, answer.status, signals.backoff_s)
+        if signals.is_draining:
             self.on_leaving([instance.instance_id])
 
     def _note_rest(self, instance: Instance, status: int, rest_s: float) -> None:
@@ -99,7 +99,7 @@
         self._availability.move_to_end(life)
         if len(self._availability) > REMEMBERED_RESTS:
             self._availability.popitem(last=False)
-        if known.note_rest(rest_s, monotonic_s()):
+        if known.note_backoff(rest_s, monotonic_s()):
             log_event(Event.REPLICA_RESTS, replica=life, status=status, rest_s=round(rest_s, 3))
 
     async def _exchange(
@@ -114,7 +114,7 @@
         answer: CallAnswer | None = None
         try:
             # The connection may have taken a second to come up.
-            if self.is_resting(instance):
+            if self.is_backing_off(instance):
                 return None
             connection.send(message, b"", False, collector)
             async with asyncio.timeout_at(deadline_s):
--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -10,9 +10,9 @@
 from crowsill.gateway.fingerprint import Fingerprints
 from crowsill.gateway.pool import ConnectionPool
 from crowsill.gateway.quota import GrantClient
-from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
 from crowsill.gateway.replica_grants import ReplicaGrants
-from crowsill.gateway.routing_table import GatewayTable
+from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
+from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.routing.shared_budget import SharedBudget
 
 
@@ -21,7 +21,7 @@
 
     names: HeaderNames
     zone: str
-    book: ReplicaBook
+    registry: ReplicaRegistry
     pool: ConnectionPool
     random: Random
     grants: GrantClient
@@ -39,7 +39,7 @@
         """Time since this process asked what is current and was told; infinite before."""
 
     @property
-    def table(self) -> GatewayTable | None:
+    def table(self) -> GatewayRoutingTable | None:
         """The routes in force; None before the first configuration."""
 
     @property
--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -20,10 +20,10 @@
 from crowsill.gateway.repeat_guard import RepeatGuard
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.routing_table import GatewayTable, is_urgent, pick_service
+from crowsill.gateway.routing_table import GatewayRoutingTable, is_urgent, pick_service
 from crowsill.gateway.selection import (
     Choice,
-    NoChoice,
+    NoReplicaReason,
     SelectionLimits,
     choose,
 )
@@ -136,7 +136,7 @@
         else:
             self._outcome.refuse(refusal.kind, refusal.detail, refusal.retry_after_s)
 
-    async def _wait_for_routes(self) -> GatewayTable | None:
+    async def _wait_for_routes(self) -> GatewayRoutingTable | None:
         """A process that has just started knows the routes within a moment."""
         context, request = self._context, self._request
         wait_s = LONGEST_WAIT_FOR_ROUTES_S
@@ -165,14 +165,14 @@
                 self._refuse(refusal)
                 return
             choice = self._choose(route)
-            if isinstance(choice, NoChoice):
+            if isinstance(choice, NoReplicaReason):
                 if await waiting.wait(choice):
                     continue
                 self._outcome.give_up(waiting.give_up(choice, self._admission.rank(route)))
                 return
             is_repeat = self._progress.sendings > 0
             if is_repeat and not self._may_send_again():
-                why = NoChoice.ALL_TRIED
+                why = NoReplicaReason.ALL_TRIED
                 self._outcome.give_up(waiting.give_up(why, self._admission.rank(route)))
                 return
             if self._progress.may_have_run:
@@ -196,29 +196,29 @@
         if deadline_s > limit_s:
             # However long its like took, only its deadline bounds it.
             return True
-        pace = self._context.book.pace(self._service)
-        lasts_s = pace.stream_ms(self._request.model, self._request.output_tokens) / 1000.0
+        latency_model = self._context.registry.latency_model(self._service)
+        lasts_s = latency_model.stream_ms(self._request.model, self._request.output_tokens) / 1000.0
         return self._loop.time() + lasts_s * STREAM_MARGIN > limit_s
 
-    def _choose(self, route: Route) -> Choice | NoChoice:
+    def _choose(self, route: Route) -> Choice | NoReplicaReason:
         context = self._context
         table = context.table
         definition = None if table is None else table.services.get(self._service)
         most = 100 if definition is None else definition.max_connections
         share = int(most * CONNECTION_SHARE / max(1, context.gateways))
-        longest_ms = float("inf")
+        max_expected_ms = float("inf")
         if self._request.model:
-            longest_ms = max(LATEST_EVENT_MS, route.target_latency_ms * LATEST_EVENT_TARGETS)
+            max_expected_ms = max(LATEST_EVENT_MS, route.target_latency_ms * LATEST_EVENT_TARGETS)
         limits = SelectionLimits(
             zone=context.zone,
             connections=max(FEWEST_CONNECTIONS, share),
-            longest_ms=longest_ms,
+            max_expected_ms=max_expected_ms,
             has_idle=context.pool.has_idle,
-            pace=context.book.pace(self._service),
+            latency_model=context.registry.latency_model(self._service),
             random=context.random,
             is_urgent=is_urgent(route),
         )
-        records = context.book.of_service(self._service)
+        records = context.registry.of_service(self._service)
         return choose(records, self._request, self._progress.tried, limits, self._loop.time())
 
     def _may_send_again(self) -> bool:
@@ -249,6 +249,6 @@
             return False
         budget = self._context.budget(self._service)
         left = budget.left(self._loop.time(), self._context.gateways)
-        if left < 1.0 or isinstance(self._choose(route), NoChoice):
+        if left < 1.0 or isinstance(self._choose(route), NoReplicaReason):
             return False
         return await self._repeats.may_repeat(choice.record.instance, end)
--- a/src/crowsill/gateway/exchange_log.py
+++ b/src/crowsill/gateway/exchange_log.py
@@ -7,9 +7,9 @@
 from crowsill.gateway.fingerprint import Fingerprints
 from crowsill.gateway.holding import wait_budget_of
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import Choice, NoChoice
+from crowsill.gateway.selection import Choice, NoReplicaReason
 from crowsill.logs import log_event
 from crowsill.metrics import GATEWAY_FIRST_BYTE_S, GATEWAY_REQUESTS, REPLICA_SIGNALS
 from crowsill.model.routes import Route, RouteKind
@@ -88,7 +88,7 @@
             expected_ms=round(choice.expected_ms, 1),
             known_tokens=choice.known_tokens,
             in_flight=record.in_flight,
-            others=round(record.others_now(now_s), 1),
+            others=round(record.other_requests(now_s), 1),
             peers=round(record.peer_requests(now_s), 1),
             slowness=round(record.slowness_now(now_s), 2),
             sending=sending,
@@ -157,7 +157,7 @@
         REPLICA_SIGNALS.labels("unreadable").inc()
         log_event(Event.SIGNAL_UNREADABLE, replica=record.instance.instance_id, word=unread)
 
-    def held(self, why: NoChoice, directory: int) -> None:
+    def held(self, why: NoReplicaReason, directory: int) -> None:
         """It waits."""
         log_event(
             Event.REQUEST_HELD,
--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -15,7 +15,7 @@
 from crowsill.control.subscribers import DemandCounter
 from crowsill.events import Event
 from crowsill.gateway.crash_guard import CrashGuard
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.logs import log_event
 from crowsill.model.suspects import SuspectChange
 from crowsill.settings import Address
@@ -78,7 +78,7 @@
     """Keeps one gateway up to date.
 
     Attributes:
-        book: The replicas.
+        registry: The replicas.
         routes_version: Version of the newest routes taken in; it never falls.
         demand: Requests by resource since the last heartbeat.
         urgent: Those of them that have a short target.
@@ -89,13 +89,13 @@
         self,
         local: LocalIdentity,
         seeds: list[Address],
-        book: ReplicaBook,
+        registry: ReplicaRegistry,
         guard: CrashGuard,
         *,
         hooks: GatewayHooks,
         random: Random,
     ) -> None:
-        self.book = book
+        self.registry = registry
         self._guard = guard
         self.routes_version = 0
         self.demand = DemandCounter()
@@ -194,12 +194,12 @@
 
     async def _heartbeat(self, connection: Connection) -> bool:
         local = self._local
-        excluded = self.book.excluded(monotonic_s())
+        excluded = self.registry.excluded(monotonic_s())
         status = EntryStatus(local.identity, local.node, local.zone, 0, excluded)
         demand = self.demand.collect()
         urgent = self.urgent.collect()
         pressed = self.pressed.collect()
-        in_use = self.book.in_use()
+        in_use = self.registry.in_use()
         heartbeat = Heartbeat(
             fleet_epoch=0,
             fleet_sequence=0,
@@ -208,12 +208,12 @@
             follows_configuration=False,
             follows_routes=True,
             routes_version=self.routes_version,
-            directory_version=self.book.version,
+            directory_version=self.registry.version,
             suspects_version=self._guard.version,
             urgent=urgent,
             pressed=pressed,
             in_use=in_use,
-            limits=self.book.limits(monotonic_s()),
+            limits=self.registry.limit_reports(monotonic_s()),
         )
         asked_s = monotonic_s()
         try:
@@ -227,9 +227,9 @@
         if not isinstance(reply, Currency):
             # What was counted is dropped: kept, it would arrive later as if it had come at once.
             return False
-        self.book.note_limits(reply.limits, monotonic_s())
+        self.registry.note_limit_reports(reply.limits, monotonic_s())
         if reply.in_use is not None:
-            self.book.note_use_of_all(reply.in_use, in_use, monotonic_s())
+            self.registry.note_total_use(reply.in_use, in_use, monotonic_s())
         if reply.members:
             members = [parse_address(member) for member in reply.members]
             self._contacts.learn(members, reply.member_zones)
@@ -250,7 +250,7 @@
             member=connection.peer.node,
             routes=self.routes_version,
             confirmed_routes=awaited.routes_version,
-            directory=self.book.version,
+            directory=self.registry.version,
             confirmed_directory=awaited.directory_version,
         )
 
@@ -259,7 +259,7 @@
         awaited = self._awaited
         if awaited is None or self.routes_version < awaited.routes_version:
             return
-        if self.book.version < awaited.directory_version:
+        if self.registry.version < awaited.directory_version:
             return
         if self._guard.version < awaited.suspects_version:
             return
@@ -293,7 +293,7 @@
             self._hooks.on_routes(body.document)
         elif isinstance(body, DirectoryUpdate):
             # The clock of a daemon's event loop, by which requests are timed.
-            ended = self.book.adopt(body.change, body.whole, monotonic_s())
+            ended = self.registry.adopt(body.change, body.whole, monotonic_s())
             self._hooks.on_directory(ended)
         elif isinstance(body, SuspectsUpdate):
             self._hooks.on_suspects(body.change, body.whole)
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -11,7 +11,7 @@
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.selection import NoReplicaReason
 from crowsill.gateway.waiting import RefusedRequest
 
 # When to come back where a request was not sent within its time.
@@ -57,16 +57,16 @@
 
     def give_up(self, refused: RefusedRequest) -> None:
         """Refuse because no replica takes the request."""
-        why = refused.why
+        why = refused.reason
         if self._progress.may_have_run:
             self.refuse(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {why}")
             return
         kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last}"
-        if why is NoChoice.NO_MODEL:
+        if why is NoReplicaReason.NO_MODEL:
             kind, detail = ErrorKind.NO_REPLICA, "no replica holds the model yet"
-        elif why is NoChoice.NO_REPLICA:
+        elif why is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
-        elif why is NoChoice.ALL_CLOSED:
+        elif why is NoReplicaReason.ALL_CLOSED:
             detail = refused.detail or "every replica that could run it is closed for a moment"
         self.refuse(kind, detail, round(refused.back_s, 2))
 
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -4,8 +4,8 @@
 
 from crowsill.gateway.attempt import Attempt
 from crowsill.gateway.availability import Availability
-from crowsill.gateway.replica_book import ReplicaRecord
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.replica_registry import ReplicaRecord
+from crowsill.gateway.selection import NoReplicaReason
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     runs: int = 0
     may_have_run: bool = False
     last: str = ""
-    held_for: NoChoice | None = None
+    held_for: NoReplicaReason | None = None
     attempt: Attempt | None = None
 
 
@@ -39,7 +39,7 @@
         self._tokens = tokens
         self._is_counted = True
         record.pending_prompt_tokens += tokens
-        record.unanswered_s[id(self)] = sent_s
+        record.unanswered_sent_at_s[id(self)] = sent_s
 
     def read(self) -> None:
         """Count it no more."""
@@ -47,18 +47,18 @@
             return
         self._is_counted = False
         self._record.pending_prompt_tokens -= self._tokens
-        del self._record.unanswered_s[id(self)]
+        del self._record.unanswered_sent_at_s[id(self)]
 
 
-class Trial:
+class Probe:
     """A sending to a replica that may have few after a rest, counted until it is answered."""
 
     def __init__(self, availability: Availability) -> None:
         self._availability = availability
-        self._is_counted = availability.begin_trial()
+        self._is_counted = availability.begin_probe()
 
     def end(self) -> None:
         """Count it no more."""
         if self._is_counted:
             self._is_counted = False
-            self._availability.end_trial()
+            self._availability.end_probe()
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -6,7 +6,7 @@
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.replica_signals import ReplicaSignals
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import Choice, part_keys
@@ -42,18 +42,18 @@
     ) -> None:
         """Take in what the head of an answer says of its replica, as it comes."""
         now_s = self._loop.time()
-        if signals.unread and not record.availability.was_unreadable:
-            record.availability.was_unreadable = True
+        if signals.unread and not record.availability.had_unreadable_signal:
+            record.availability.had_unreadable_signal = True
             self._log.unreadable(record, signals.unread)
-        if signals.rest_s > 0.0 and record.availability.note_rest(
-            signals.rest_s, now_s, record.in_flight
+        if signals.backoff_s > 0.0 and record.availability.note_backoff(
+            signals.backoff_s, now_s, record.in_flight
         ):
-            self._log.rests(record, status, signals.rest_s)
+            self._log.rests(record, status, signals.backoff_s)
             self._context.rests(record)
         self._take_limit(record, sent_s, signals)
         if status not in REST_STATUSES:
-            record.availability.note_taken(sent_s)
-        if signals.is_leaving and record.note_leaving(now_s):
+            record.availability.note_accepted(sent_s)
+        if signals.is_draining and record.note_draining(now_s):
             self._log.leaves(record, status)
             self._context.leaves(record)
 
@@ -76,7 +76,7 @@
             return
         if self._loop.time() - attempt.made_s < SILENCE_S:
             return
-        record.note_break(self._loop.time())
+        record.note_failure(self._loop.time())
         self._context.unreachable(record)
         self._log.failed(record, "silent", "no answer")
 
@@ -97,18 +97,18 @@
             record.note_load(attempt.signals.load, now_s)
         if end.result is Result.NOT_RUN:
             if end.status == 421 and request.model:
-                record.availability.note_lacking(request.resource)
-            elif end.status in REST_STATUSES and not attempt.signals.rest_s:
+                record.availability.note_missing(request.resource)
+            elif end.status in REST_STATUSES and not attempt.signals.backoff_s:
                 # It answers at once and has nothing in flight, so that it looks the quickest.
-                record.note_error_answer()
+                record.note_error_response()
             return
         self._progress.runs += 1
         if end.result is not Result.WHOLE:
-            record.note_break(now_s)
+            record.note_failure(now_s)
             self._log.failed(record, end.result, end.detail)
             return
         if end.status >= FAILED_STATUS:
-            record.note_error_answer()
+            record.note_error_response()
             return
         record.note_success()
         for key in part_keys(request):
@@ -117,10 +117,14 @@
         taken_s = first_s - sent_s
         if request.model:
             unread = max(0, request.prompt_tokens - choice.known_tokens)
-            pace = self._context.book.pace(self._log.service)
-            record.note_time(taken_s, pace.quickest_ms(request.model, unread) / 1000.0, now_s)
-            pace.learn(request.model, unread, taken_s * 1000.0)
-            pace.learn_stream(request.model, request.output_tokens, (now_s - first_s) * 1000.0)
+            latency_model = self._context.registry.latency_model(self._log.service)
+            record.note_response_time(
+                taken_s, latency_model.quickest_ms(request.model, unread) / 1000.0, now_s
+            )
+            latency_model.learn(request.model, unread, taken_s * 1000.0)
+            latency_model.learn_stream(
+                request.model, request.output_tokens, (now_s - first_s) * 1000.0
+            )
             return
         expected_s = choice.expected_ms / 1000.0 / max(0.2, record.slowness_now(now_s))
-        record.note_time(taken_s, expected_s, now_s)
+        record.note_response_time(taken_s, expected_s, now_s)
--- a/src/crowsill/gateway/replica_grants.py
+++ b/src/crowsill/gateway/replica_grants.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from weakref import WeakValueDictionary
 
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.metrics import REPLICA_GRANTS
 from crowsill.transport.messages import Body, GrantReply
 from crowsill.transport.replica_messages import ReplicaGrantRequest
@@ -59,7 +59,7 @@
             now_s = loop.time()
             if not availability.limit.binds(now_s):
                 return float("-inf")
-            if availability.is_shut or now_s < availability.opens_for_s(is_urgent):
+            if availability.is_closed_indefinitely or now_s < availability.opens_at_s(is_urgent):
                 return None
             word = availability.limit.told(instance_id, now_s)
             reply = await self._ask(ReplicaGrantRequest(word, is_urgent), ANSWER_TIMEOUT_S)
--- a/src/crowsill/gateway/replica_book.py
+++ b/src/crowsill/gateway/replica_registry.py
@@ -18,11 +18,11 @@
 LOAD_LIFETIME_S = 1.5
 ERROR_WEIGHT = 0.1
 SLOWNESS_WEIGHT = 0.2
-SLOWNESS_MEMORY_S = 4.0
-REMEMBERED_PARTS = 2000
-REMEMBERED_LIVES = 4000
+SLOWNESS_DECAY_S = 4.0
+MAX_REMEMBERED_PROMPT_PARTS = 2000
+MAX_FORMER_INCARNATIONS = 4000
 
-PartKey = tuple[str, str, bytes]
+PromptPartKey = tuple[str, str, bytes]
 
 
 @dataclass(slots=True)
@@ -35,17 +35,17 @@
         availability: Whether it may be sent requests, and if not, why and until when.
         in_flight: Own requests that it has not answered.
         pending_prompt_tokens: Prompt tokens of own streams before their first event.
-        others: Requests of other callers, by the last load it told.
-        load_told_s: Clock of that.
+        reported_other_requests: Requests of other callers, by the last load it told.
+        load_reported_at_s: Clock of that.
         peer_use: What other gateways have there, as they told it.
-        peer_use_told_s: Clock of that.
+        peer_use_reported_at_s: Clock of that.
         error_share: Moving share of its answers that failed, or turned away and named no rest.
         slowness: Moving ratio of its time to answer to what was expected.
-        slowness_s: Clock of the last change of that.
+        slowness_updated_at_s: Clock of the last change of that.
         delay: What requests at an engine take beyond the quickest time.
-        pause: Time between two events of streams that it runs.
-        unanswered_s: Clocks when own streams without a first event were sent, by a key of each.
-        ready_s: Clock when each model that is on its way there should have come.
+        event_gap: Time between two events of streams that it runs.
+        unanswered_sent_at_s: When own streams without a first event were sent, by a key of each.
+        model_ready_at_s: Clock when each model that is on its way there should have come.
         parts: Parts of prompts that it has read lately.
     """
 
@@ -54,120 +54,120 @@
     listed_state: InstanceState = InstanceState.READY
     in_flight: int = 0
     pending_prompt_tokens: int = 0
-    others: float = 0.0
-    load_told_s: float = float("-inf")
+    reported_other_requests: float = 0.0
+    load_reported_at_s: float = float("-inf")
     peer_use: ReplicaUse = NO_USE
-    peer_use_told_s: float = float("-inf")
+    peer_use_reported_at_s: float = float("-inf")
     error_share: float = 0.0
     slowness: float = 1.0
-    slowness_s: float = 0.0
+    slowness_updated_at_s: float = 0.0
     delay: EngineDelay = field(default_factory=EngineDelay)
-    pause: EngineDelay = field(default_factory=EngineDelay)
-    unanswered_s: dict[int, float] = field(default_factory=dict)
-    ready_s: dict[str, float] = field(default_factory=dict)
-    parts: OrderedDict[PartKey, None] = field(default_factory=OrderedDict)
+    event_gap: EngineDelay = field(default_factory=EngineDelay)
+    unanswered_sent_at_s: dict[int, float] = field(default_factory=dict)
+    model_ready_at_s: dict[str, float] = field(default_factory=dict)
+    parts: OrderedDict[PromptPartKey, None] = field(default_factory=OrderedDict)
 
     def __post_init__(self) -> None:
         """Take in what the directory says."""
-        self.list_as(self.instance)
+        self.note_listing(self.instance)
 
-    def note_leaving(self, now_s: float) -> bool:
+    def note_draining(self, now_s: float) -> bool:
         """Take in that it said that it leaves; return whether that is new."""
-        is_new = self.availability.note_leaving(now_s)
-        self.instance = self._as_told(self.instance)
+        is_new = self.availability.note_draining(now_s)
+        self.instance = self._with_reported_drain(self.instance)
         return is_new
 
-    def list_as(self, instance: Instance) -> None:
+    def note_listing(self, instance: Instance) -> None:
         """Take in what the directory says of it."""
         self.listed_state = instance.state
-        self.availability.list_as(not instance.accepts_work)
-        self.instance = self._as_told(instance)
+        self.availability.note_listing(not instance.accepts_work)
+        self.instance = self._with_reported_drain(instance)
 
-    def _as_told(self, instance: Instance) -> Instance:
+    def _with_reported_drain(self, instance: Instance) -> Instance:
         """A replica that said that it leaves does so, whatever its heartbeats still say."""
-        if not self.availability.is_leaving or not instance.accepts_work:
+        if not self.availability.has_reported_draining or not instance.accepts_work:
             return instance
         return msgspec.structs.replace(instance, state=InstanceState.DRAINING)
 
-    def others_now(self, now_s: float) -> float:
+    def other_requests(self, now_s: float) -> float:
         """Requests of other callers, as far as what was told is still worth anything."""
-        return self.others * _freshness(self.load_told_s, now_s)
+        return self.reported_other_requests * _report_weight(self.load_reported_at_s, now_s)
 
     def peer_requests(self, now_s: float) -> float:
         """Requests of other gateways there, as far as what they told is still worth anything."""
-        return self.peer_use.requests * _freshness(self.peer_use_told_s, now_s)
+        return self.peer_use.requests * _report_weight(self.peer_use_reported_at_s, now_s)
 
     def peer_prompt_tokens(self, now_s: float) -> float:
         """Prompt tokens of theirs that it has not read, as far as that is worth anything."""
-        return self.peer_use.prompt_tokens * _freshness(self.peer_use_told_s, now_s)
+        return self.peer_use.prompt_tokens * _report_weight(self.peer_use_reported_at_s, now_s)
 
     def slowness_now(self, now_s: float) -> float:
         """Its slowness, which is forgotten while nothing is sent to it."""
-        age = min(1.0, max(0.0, now_s - self.slowness_s) / SLOWNESS_MEMORY_S)
+        age = min(1.0, max(0.0, now_s - self.slowness_updated_at_s) / SLOWNESS_DECAY_S)
         return self.slowness + (1.0 - self.slowness) * age
 
     def note_load(self, load: ReplicaLoad, now_s: float) -> None:
         """Take in the load that it told."""
         # The answer that tells the load may still be counted in it, so one of our own is off.
-        self.others = max(0.0, load.running + load.waiting - self.in_flight)
-        self.load_told_s = now_s
+        self.reported_other_requests = max(0.0, load.running + load.waiting - self.in_flight)
+        self.load_reported_at_s = now_s
 
     def note_peer_use(self, use: ReplicaUse, now_s: float) -> None:
         """Take in what other gateways have there."""
         self.peer_use = use
-        self.peer_use_told_s = now_s
+        self.peer_use_reported_at_s = now_s
 
     def note_success(self) -> None:
         """An answer came whole."""
-        self.availability.note_whole()
+        self.availability.note_complete_response()
         self.error_share *= 1.0 - ERROR_WEIGHT
 
-    def note_error_answer(self) -> None:
+    def note_error_response(self) -> None:
         """It answered with a failure, or turned a request away and named no rest."""
         self.error_share += (1.0 - self.error_share) * ERROR_WEIGHT
 
-    def note_break(self, now_s: float) -> None:
+    def note_failure(self, now_s: float) -> None:
         """It could not be reached, or broke an answer off."""
-        self.note_error_answer()
-        self.availability.note_break(now_s)
+        self.note_error_response()
+        self.availability.note_failure(now_s)
 
-    def note_time(self, taken_s: float, expected_s: float, now_s: float) -> None:
+    def note_response_time(self, taken_s: float, expected_s: float, now_s: float) -> None:
         """Compare the time of an answer, or of a first event, with what was expected."""
         self.delay.learn((taken_s - expected_s) * 1000.0, now_s)
         ratio = min(20.0, max(0.2, taken_s / max(expected_s, 0.001)))
         self.slowness = self.slowness_now(now_s)
         self.slowness += (ratio - self.slowness) * SLOWNESS_WEIGHT
-        self.slowness_s = now_s
+        self.slowness_updated_at_s = now_s
 
-    def note_gap(self, gap_s: float, now_s: float) -> None:
+    def note_event_gap(self, gap_s: float, now_s: float) -> None:
         """Take in the time between two events of a stream that it runs."""
-        self.pause.learn(gap_s * 1000.0, now_s)
+        self.event_gap.learn(gap_s * 1000.0, now_s)
 
-    def longest_unanswered_ms(self, now_s: float) -> float:
+    def oldest_unanswered_ms(self, now_s: float) -> float:
         """Return how long the oldest own stream without a first event has waited."""
-        return (now_s - min(self.unanswered_s.values(), default=now_s)) * 1000.0
+        return (now_s - min(self.unanswered_sent_at_s.values(), default=now_s)) * 1000.0
 
-    def note_coming(self, now_s: float) -> None:
+    def note_loading_models(self, now_s: float) -> None:
         """Take in what is on its way; the first word on a load tells when it began."""
-        self.ready_s = {
-            model.name: self.ready_s.get(model.name, now_s + model.load_s)
+        self.model_ready_at_s = {
+            model.name: self.model_ready_at_s.get(model.name, now_s + model.load_s)
             for model in self.instance.coming
         }
 
-    def remember_part(self, key: PartKey) -> None:
+    def remember_part(self, key: PromptPartKey) -> None:
         """It has read this part of a prompt."""
         self.parts[key] = None
         self.parts.move_to_end(key)
-        if len(self.parts) > REMEMBERED_PARTS:
+        if len(self.parts) > MAX_REMEMBERED_PROMPT_PARTS:
             self.parts.popitem(last=False)
 
 
-def _freshness(told_s: float, now_s: float) -> float:
+def _report_weight(told_s: float, now_s: float) -> float:
     """Return what is left of the worth of a load that was told, from 1 down to 0."""
     return max(0.0, 1.0 - (now_s - told_s) / LOAD_LIFETIME_S)
 
 
-class ReplicaBook:
+class ReplicaRegistry:
     """All instances that this gateway knows.
 
     Attributes:
@@ -181,9 +181,9 @@
         self.waiting_to_open: Counter[tuple[str, bool]] = Counter()
         self._records: dict[str, ReplicaRecord] = {}
         self._by_service: dict[str, list[ReplicaRecord]] = {}
-        self._paces: dict[str, EnginePace] = {}
+        self._latency_models: dict[str, EnginePace] = {}
         # What lives said that have no record at present: the same life may be listed again.
-        self._former: OrderedDict[str, Availability] = OrderedDict()
+        self._former_availability: OrderedDict[str, Availability] = OrderedDict()
 
     def of_service(self, service: str) -> list[ReplicaRecord]:
         """Return the instances of a service."""
@@ -193,17 +193,17 @@
         """Return what is sent nothing now, and why; `MOST_TOLD` at most, the worst first."""
         order = list(ExclusionReason)
         found = [
-            (order.index(exclusion.why), record.instance.instance_id, exclusion)
+            (order.index(exclusion.reason), record.instance.instance_id, exclusion)
             for record in self._records.values()
             if (exclusion := record.availability.exclusion(now_s)) is not None
         ]
         found.sort(key=lambda item: item[:2])
         return [
-            ExcludedReplica(instance_id, exclusion.why, exclusion.left_s(now_s))
+            ExcludedReplica(instance_id, exclusion.reason, exclusion.remaining_s(now_s))
             for _, instance_id, exclusion in found[:MOST_TOLD]
         ]
 
-    def limits(self, now_s: float) -> list[LimitWord]:
+    def limit_reports(self, now_s: float) -> list[LimitWord]:
         """Return the limits that bind, those named last first; `MOST_TOLD` at most."""
         words = [
             record.availability.limit.told(instance_id, now_s)
@@ -212,7 +212,7 @@
         ]
         return sorted(words, key=lambda word: word.named_ago_s)[:MOST_LIMITS_TOLD]
 
-    def note_limits(self, words: list[LimitWord], now_s: float) -> None:
+    def note_limit_reports(self, words: list[LimitWord], now_s: float) -> None:
         """Take in what the group knows of limits."""
         for word in words:
             record = self._records.get(word.instance_id)
@@ -227,7 +227,7 @@
             if record.in_flight
         }
 
-    def note_use_of_all(self, total: UseByReplica, own: UseByReplica, now_s: float) -> None:
+    def note_total_use(self, total: UseByReplica, own: UseByReplica, now_s: float) -> None:
         """Take in what all gateways have at replicas.
 
         Args:
@@ -243,27 +243,27 @@
             )
             record.note_peer_use(others, now_s)
 
-    def pace(self, service: str) -> EnginePace:
+    def latency_model(self, service: str) -> EnginePace:
         """Return what is known of how fast the engines of a service are."""
-        return self._paces.setdefault(service, EnginePace())
+        return self._latency_models.setdefault(service, EnginePace())
 
     def find(self, instance_id: str) -> ReplicaRecord | None:
         """Return an instance, or None."""
         return self._records.get(instance_id)
 
-    def adopt(self, change: DirectoryChange, whole: bool, now_s: float) -> list[str]:
+    def adopt(self, change: DirectoryChange, is_full: bool, now_s: float) -> list[str]:
         """Take in a change of the directory; return the ids that get no more work.
 
         Args:
             change: The change.
-            whole: Whether it holds everything, so that what it lacks is gone.
+            is_full: Whether it holds everything, so that what it lacks is gone.
             now_s: Clock.
         """
-        if change.version < self.version or (change.version == self.version and not whole):
+        if change.version < self.version or (change.version == self.version and not is_full):
             return []
         self.version = change.version
         removed = set(change.removed)
-        if whole:
+        if is_full:
             removed |= set(self._records) - {item.instance_id for item in change.changed}
         ended = [instance_id for instance_id in removed if self._remove(instance_id)]
         for instance in change.changed:
@@ -276,22 +276,22 @@
         record = self._records.pop(instance_id, None)
         if record is None:
             return False
-        record.availability.forget_calls()
-        if record.availability.says_anything:
-            self._former[instance_id] = record.availability
-            if len(self._former) > REMEMBERED_LIVES:
-                self._former.popitem(last=False)
+        record.availability.forget_call_results()
+        if record.availability.has_reported_state:
+            self._former_availability[instance_id] = record.availability
+            if len(self._former_availability) > MAX_FORMER_INCARNATIONS:
+                self._former_availability.popitem(last=False)
         return True
 
     def _put(self, instance: Instance, now_s: float) -> bool:
         """Store an instance; return whether it accepts no more work."""
         record = self._records.get(instance.instance_id)
         if record is None:
-            known = self._former.pop(instance.instance_id, None) or Availability()
+            known = self._former_availability.pop(instance.instance_id, None) or Availability()
             record = self._records[instance.instance_id] = ReplicaRecord(instance, known)
-        record.list_as(instance)
-        record.availability.lacks.clear()
-        record.note_coming(now_s)
+        record.note_listing(instance)
+        record.availability.missing_resources.clear()
+        record.note_loading_models(now_s)
         return not record.instance.accepts_work
 
     def _index(self) -> None:
--- a/src/crowsill/gateway/replica_signals.py
+++ b/src/crowsill/gateway/replica_signals.py
@@ -35,8 +35,8 @@
 
     Attributes:
         load: Its load, if it told any.
-        rest_s: How long from now it wants nothing from this process; 0 if it does not say.
-        is_leaving: Whether it leaves: it is to get nothing new in this life.
+        backoff_s: How long from now it wants nothing from this process; 0 if it does not say.
+        is_draining: Whether it leaves: it is to get nothing new in this life.
         limit_per_s: Requests a second that it takes from all gateways; None if it names none that
             can be read. Of several, the least.
         names_limit: Whether it names any, one that cannot be read included.
@@ -44,8 +44,8 @@
     """
 
     load: ReplicaLoad | None = None
-    rest_s: float = 0.0
-    is_leaving: bool = False
+    backoff_s: float = 0.0
+    is_draining: bool = False
     limit_per_s: float | None = None
     names_limit: bool = False
     unread: str = ""
@@ -63,20 +63,20 @@
         wall_s: Unix time, for dates.
 
     >>> names = HeaderNames()
-    >>> read_signals(503, [(b"Retry-After", b"2.5")], names, 0.0).rest_s
+    >>> read_signals(503, [(b"Retry-After", b"2.5")], names, 0.0).backoff_s
     2.5
-    >>> read_signals(200, [(b"Retry-After", b"2.5")], names, 0.0).rest_s
+    >>> read_signals(200, [(b"Retry-After", b"2.5")], names, 0.0).backoff_s
     0.0
-    >>> read_signals(200, [(b"Crowsill-Server-Leaving", b"1")], names, 0.0).is_leaving
+    >>> read_signals(200, [(b"Crowsill-Server-Leaving", b"1")], names, 0.0).is_draining
     True
     >>> read_signals(200, [(b"Crowsill-Server-Limit", b"1.5")], names, 0.0).limit_per_s
     1.5
     """
     unread: list[str] = []
-    rest_s = 0.0
+    backoff_s = 0.0
     if status in REST_STATUSES:
         values = [value.decode("latin-1") for value in all_values(headers, RETRY_AFTER)]
-        rest_s, wrong = longest_delay_s(values, wall_s)
+        backoff_s, wrong = longest_delay_s(values, wall_s)
         unread.extend(f"Retry-After: {value}" for value in wrong)
     told = [value.strip() for name in names.leaving for value in all_values(headers, name)]
     unread.extend(f"leaving: {value.decode('latin-1')}" for value in told if value != _LEAVES)
@@ -85,8 +85,8 @@
     unread.extend(f"limit: {value.decode('latin-1')}" for value in named if limits[value] is None)
     return ReplicaSignals(
         load=read_load(find_header(headers, names.load)),
-        rest_s=rest_s,
-        is_leaving=_LEAVES in told,
+        backoff_s=backoff_s,
+        is_draining=_LEAVES in told,
         limit_per_s=min((per_s for per_s in limits.values() if per_s is not None), default=None),
         names_limit=bool(named),
         unread=", ".join(unread)[:LONGEST_UNREAD],
--- a/src/crowsill/gateway/replica_watch.py
+++ b/src/crowsill/gateway/replica_watch.py
@@ -5,7 +5,7 @@
 
 from crowsill.events import Event
 from crowsill.gateway.pool import ConnectError, ConnectionPool
-from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.logs import log_event
 from crowsill.model.instances import InstanceState
 from crowsill.transport.replica_messages import LeavingInstances, SuspectInstances
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        book: ReplicaBook,
+        registry: ReplicaRegistry,
         pool: ConnectionPool,
         notify: Callable[[SuspectInstances | LeavingInstances], bool],
         on_change: Callable[[], None],
@@ -29,12 +29,12 @@
         """Make a watch.
 
         Args:
-            book: What is known of replicas.
+            registry: What is known of replicas.
             pool: Connections to them.
             notify: Tells the group something; returns whether it could be sent.
             on_change: Called when a replica may be sent requests again.
         """
-        self._book = book
+        self._registry = registry
         self._pool = pool
         self._notify = notify
         self._on_change = on_change
@@ -43,7 +43,7 @@
     def unreachable(self, record: ReplicaRecord) -> None:
         """Leave a replica out until a connection to it can be made, and say so to the group."""
         # A record that is gone is looked after by nobody, and its life may be listed again.
-        is_known = self._book.find(record.instance.instance_id) is record
+        is_known = self._registry.find(record.instance.instance_id) is record
         if not is_known or record.availability.is_unreachable:
             return
         record.availability.note_unreachable()
@@ -56,7 +56,7 @@
     async def _try_again(self, record: ReplicaRecord) -> None:
         """Try to connect until it works or the replica is gone for good."""
         instance_id = record.instance.instance_id
-        while self._book.find(instance_id) is record and record.instance.accepts_work:
+        while self._registry.find(instance_id) is record and record.instance.accepts_work:
             await asyncio.sleep(RECONNECT_S)
             try:
                 connection = await self._pool.acquire(record.instance, RECONNECT_TIMEOUT_S)
@@ -70,18 +70,20 @@
 
     def rests(self, record: ReplicaRecord) -> None:
         """Look at a replica again when its rest is over."""
-        asyncio.get_running_loop().call_at(record.availability.rest_until_s, self._rested, record)
+        asyncio.get_running_loop().call_at(
+            record.availability.backoff_ends_at_s, self._rested, record
+        )
 
     def _rested(self, record: ReplicaRecord) -> None:
         availability = record.availability
-        if availability.is_resting(asyncio.get_running_loop().time()):
+        if availability.is_backing_off(asyncio.get_running_loop().time()):
             # It has asked for more meanwhile.
             self.rests(record)
             return
         log_event(
             Event.REPLICA_RESTED,
             replica=record.instance.instance_id,
-            sent=availability.sent_in_rest,
+            sent=availability.sent_in_backoff,
         )
         self._on_change()
 
@@ -92,7 +94,10 @@
     async def _tell_leaving(self, record: ReplicaRecord) -> None:
         """Tell the group until its directory says so, or the replica is gone."""
         instance_id = record.instance.instance_id
-        while self._book.find(instance_id) is record and record.listed_state is InstanceState.READY:
+        while (
+            self._registry.find(instance_id) is record
+            and record.listed_state is InstanceState.READY
+        ):
             self._notify(LeavingInstances([instance_id]))
             await asyncio.sleep(TELL_LEAVING_S)
 
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -21,11 +21,11 @@
 from crowsill.gateway.pool import ConnectionPool
 from crowsill.gateway.quota import GrantClient
 from crowsill.gateway.ready_server import ReadyServer
-from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
 from crowsill.gateway.replica_grants import ReplicaGrants
+from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.gateway.replica_watch import ReplicaWatch
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.routing_table import GatewayTable
+from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.logs import log_event
 from crowsill.metrics import READY, ROUTES_VERSION
 from crowsill.model.route_codec import RouteCodec, unpack
@@ -74,10 +74,10 @@
         self.names = names
         self.zone = settings.zone
         self.random = Random(secrets.randbits(64))
-        self.book = ReplicaBook()
+        self.registry = ReplicaRegistry()
         self.fingerprints = Fingerprints(key)
         self.crash_guard = CrashGuard()
-        self._table: GatewayTable | None = None
+        self._table: GatewayRoutingTable | None = None
         self._gateway_count = GatewayCount()
         self._settings = gateway
         self._codec = codec
@@ -102,7 +102,7 @@
         self._follower = GatewayFollower(
             local,
             gateway.control_seeds,
-            self.book,
+            self.registry,
             self.crash_guard,
             hooks=hooks,
             random=self.random,
@@ -118,7 +118,7 @@
         self.crash_watch = CrashWatch(
             self.pool, self.crash_guard, self._follower.ask, self._on_ended
         )
-        self._watch = ReplicaWatch(self.book, self.pool, self._follower.send_notice, self._wake)
+        self._watch = ReplicaWatch(self.registry, self.pool, self._follower.send_notice, self._wake)
         listen = self._settings.callers
         self._server = await loop.create_server(
             lambda: CallerConnection(self), listen.host, listen.port, backlog=BACKLOG
@@ -142,7 +142,7 @@
         self._follower.use_seeds(settings.control_seeds)
 
     @property
-    def table(self) -> GatewayTable | None:
+    def table(self) -> GatewayRoutingTable | None:
         """The routes in force; None until the group has proved once that they are the newest.
 
         A member that has just started hands out what it has applied so far, which may be old, and
@@ -171,7 +171,7 @@
             )
             return
         configuration = msgspec.structs.replace(decoded, version=document.version)
-        self._table = GatewayTable(configuration)
+        self._table = GatewayRoutingTable(configuration)
         ROUTES_VERSION.set(document.version)
         log_event(Event.ROUTES_ADOPTED, version=document.version, routes=len(configuration.routes))
         self._wake()
@@ -186,7 +186,7 @@
         self.crash_watch.adopt(change, whole)
 
     def _on_ended(self, instance_id: str) -> None:
-        record = self.book.find(instance_id)
+        record = self.registry.find(instance_id)
         if record is not None:
             self.unreachable(record)
 
--- a/src/crowsill/gateway/routing_table.py
+++ b/src/crowsill/gateway/routing_table.py
@@ -17,7 +17,7 @@
     return route.target_latency_ms <= URGENT_TARGET_MS
 
 
-class GatewayTable:
+class GatewayRoutingTable:
     """An index over one route configuration, made once for each version.
 
     Attributes:
@@ -54,7 +54,7 @@
 
         >>> from crowsill.model.routes import RouteKind
         >>> routes = [Route(p, "a", p, RouteKind.STREAM, 1, []) for p in ("/", "/x/", "/x/y/")]
-        >>> table = GatewayTable(RouteConfiguration(1, routes))
+        >>> table = GatewayRoutingTable(RouteConfiguration(1, routes))
         >>> table.find("a", "/x/yz").path_prefix, table.find("a", "/x/y/z").path_prefix
         ('/x/', '/x/y/')
         >>> table.find("b", "/") is None
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from random import Random
 
-from crowsill.gateway.replica_book import PartKey, ReplicaRecord
+from crowsill.gateway.replica_registry import PromptPartKey, ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.routes import ModelWeights
 from crowsill.routing.engine_pace import EnginePace
@@ -40,7 +40,7 @@
 USUAL_ERROR_SHARE = 0.2
 
 
-class NoChoice(StrEnum):
+class NoReplicaReason(StrEnum):
     """Why no replica can take a request now.
 
     Attributes:
@@ -91,7 +91,7 @@
 
     def score_ms(self, now_s: float) -> float:
         """Return the expected time with the pauses between events that follow it."""
-        return self.expected_ms + PAUSE_WEIGHT * self.record.pause.now_ms(now_s)
+        return self.expected_ms + PAUSE_WEIGHT * self.record.event_gap.now_ms(now_s)
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,23 +101,23 @@
     Attributes:
         zone: Site of this gateway.
         connections: Requests that this gateway may have at one replica.
-        longest_ms: A request that is expected to take longer is not sent.
+        max_expected_ms: A request that is expected to take longer is not sent.
         has_idle: Whether a connection to an instance is open and free.
-        pace: How fast the engines of the service are.
+        latency_model: How fast the engines of the service are.
         random: Source of chance among replicas that look equal.
         is_urgent: Whether the request cannot wait.
     """
 
     zone: str
     connections: int
-    longest_ms: float = float("inf")
+    max_expected_ms: float = float("inf")
     has_idle: Callable[[str], bool] = lambda _instance_id: True
-    pace: EnginePace = field(default_factory=EnginePace)
+    latency_model: EnginePace = field(default_factory=EnginePace)
     random: Random = field(default_factory=lambda: Random(0))
     is_urgent: bool = True
 
 
-def part_keys(request: CallerRequest) -> list[PartKey]:
+def part_keys(request: CallerRequest) -> list[PromptPartKey]:
     """Return the keys under which parts of a prompt are remembered."""
     return [(request.model, request.adapter, part.part_id) for part in request.parts]
 
@@ -140,7 +140,7 @@
     if request.model:
         total_ms = first_event_ms(record, request, known, limits, now_s)
     else:
-        total_ms = answer_ms(record, record.others_now(now_s), now_s)
+        total_ms = answer_ms(record, record.other_requests(now_s), now_s)
     return Estimate(record, _weighted_ms(record, limits, total_ms), known)
 
 
@@ -150,11 +150,11 @@
     """Estimate the time at a replica by what all gateways have there."""
     record = own.record
     if not request.model:
-        others = max(record.others_now(now_s), record.peer_requests(now_s))
+        others = max(record.other_requests(now_s), record.peer_requests(now_s))
         total_ms = answer_ms(record, others, now_s)
         return Estimate(record, _weighted_ms(record, limits, total_ms), own.known_tokens)
     unread = record.peer_prompt_tokens(now_s)
-    queued_ms = limits.pace.read_ms(request.model, int(unread))
+    queued_ms = limits.latency_model.read_ms(request.model, int(unread))
     queued_ms += PEER_REQUEST_MS * record.peer_requests(now_s)
     return Estimate(record, own.expected_ms + queued_ms, own.known_tokens)
 
@@ -179,10 +179,10 @@
 ) -> float:
     """Return the expected time to the first event at an engine that has read `known` tokens."""
     unread = max(0, request.prompt_tokens - known)
-    quickest_ms = limits.pace.quickest_ms(request.model, unread)
-    waiting_ms = limits.pace.read_ms(request.model, record.pending_prompt_tokens)
+    quickest_ms = limits.latency_model.quickest_ms(request.model, unread)
+    waiting_ms = limits.latency_model.read_ms(request.model, record.pending_prompt_tokens)
     waiting_ms += record.delay.now_ms(now_s)
-    return quickest_ms + max(waiting_ms, record.longest_unanswered_ms(now_s))
+    return quickest_ms + max(waiting_ms, record.oldest_unanswered_ms(now_s))
 
 
 def answer_ms(record: ReplicaRecord, others: float, now_s: float) -> float:
@@ -195,7 +195,7 @@
 
 def accepts(record: ReplicaRecord) -> bool:
     """Whether new requests may be sent to a replica."""
-    return not record.availability.is_shut
+    return not record.availability.is_closed_indefinitely
 
 
 def first_to_open(
@@ -205,14 +205,14 @@
     closed = [
         record
         for record in records
-        if now_s < record.availability.opens_for_s(is_urgent)
+        if now_s < record.availability.opens_at_s(is_urgent)
         and accepts(record)
         and holds(record, request)
     ]
-    return min(closed, key=lambda record: record.availability.opens_for_s(is_urgent), default=None)
+    return min(closed, key=lambda record: record.availability.opens_at_s(is_urgent), default=None)
 
 
-def shortest_load_s(model: ModelWeights, records: list[ReplicaRecord]) -> float:
+def min_load_s(model: ModelWeights, records: list[ReplicaRecord]) -> float:
     """Return how long a load of a model takes at the engine that has its copy nearest."""
     times = [model.load_s]
     for record in records:
@@ -225,14 +225,16 @@
     return min(times)
 
 
-def _why_none(records: list[ReplicaRecord], request: CallerRequest, tried: set[str]) -> NoChoice:
+def _no_replica_reason(
+    records: list[ReplicaRecord], request: CallerRequest, tried: set[str]
+) -> NoReplicaReason:
     """Return why no replica may be sent the request now, apart from how much each has."""
     accepting = [record for record in records if accepts(record)]
     holding = [record for record in accepting if holds(record, request)]
     if not holding:
-        return NoChoice.NO_MODEL if accepting else NoChoice.NO_REPLICA
+        return NoReplicaReason.NO_MODEL if accepting else NoReplicaReason.NO_REPLICA
     is_tried = all(record.instance.instance_id in tried for record in holding)
-    return NoChoice.ALL_TRIED if is_tried else NoChoice.ALL_CLOSED
+    return NoReplicaReason.ALL_TRIED if is_tried else NoReplicaReason.ALL_CLOSED
 
 
 def _candidates(
@@ -241,34 +243,34 @@
     tried: set[str],
     limits: SelectionLimits,
     now_s: float,
-) -> list[ReplicaRecord] | NoChoice:
+) -> list[ReplicaRecord] | NoReplicaReason:
     """Return the replicas that may be sent the request now, or why there is none."""
     # Attributes in place of methods: this is asked of every replica for every request.
     free = [
         record
         for record in records
-        if record.availability.closed_until_s <= now_s
+        if record.availability.available_at_s <= now_s
         and record.instance.instance_id not in tried
         and holds(record, request)
     ]
     if not limits.is_urgent:
-        free = [record for record in free if record.availability.patient_until_s <= now_s]
+        free = [record for record in free if record.availability.non_urgent_opens_at_s <= now_s]
     if not free:
-        return _why_none(records, request, tried)
+        return _no_replica_reason(records, request, tried)
     most = limits.connections
     roomy = [
         record
         for record in free
         if record.in_flight < most
         and (
-            not record.availability.has_rested
-            or record.availability.has_room(record.in_flight, now_s)
+            not record.availability.has_backed_off
+            or record.availability.has_capacity(record.in_flight, now_s)
         )
     ]
-    return roomy or NoChoice.ALL_FULL
+    return roomy or NoReplicaReason.ALL_FULL
 
 
-def _nearest(estimates: list[Estimate], random: Random, now_s: float) -> Estimate:
+def _lowest_score(estimates: list[Estimate], random: Random, now_s: float) -> Estimate:
     """Return the estimate with the least score; chance decides among equal ones."""
     scores = [estimate.score_ms(now_s) for estimate in estimates]
     least = min(scores)
@@ -281,7 +283,7 @@
 ) -> Choice:
     """Return the better one of two replicas, with what all gateways have there."""
     own = [own_estimate(record, request, limits, now_s) for record in records]
-    nearest = _nearest(own, limits.random, now_s)
+    nearest = _lowest_score(own, limits.random, now_s)
     best = full_estimate(nearest, request, limits, now_s)
     if len(own) > 1:
         rival = limits.random.choice([item for item in own if item is not nearest])
@@ -289,10 +291,10 @@
         margin_ms = ENGINE_MARGIN_MS if request.model else SERVICE_MARGIN_MS
         if rival.score_ms(now_s) + margin_ms < best.score_ms(now_s):
             best = rival
-    if best.expected_ms > limits.longest_ms:
+    if best.expected_ms > limits.max_expected_ms:
         # Before the request is turned away, each replica is looked at.
-        whole = [full_estimate(item, request, limits, now_s) for item in own]
-        best = _nearest(whole, limits.random, now_s)
+        full_estimates = [full_estimate(item, request, limits, now_s) for item in own]
+        best = _lowest_score(full_estimates, limits.random, now_s)
     return Choice(best.record, best.expected_ms, best.known_tokens, len(records))
 
 
@@ -302,7 +304,7 @@
     tried: set[str],
     limits: SelectionLimits,
     now_s: float,
-) -> Choice | NoChoice:
+) -> Choice | NoReplicaReason:
     """Choose the replica with the least expected time to the first event and between events.
 
     Args:
@@ -313,15 +315,17 @@
         now_s: Clock.
     """
     candidates = _candidates(records, request, tried, limits, now_s)
-    if isinstance(candidates, NoChoice):
+    if isinstance(candidates, NoReplicaReason):
         return candidates
-    sound = [record for record in candidates if record.availability.broken_until_s <= now_s]
+    sound = [
+        record for record in candidates if record.availability.failure_pause_ends_at_s <= now_s
+    ]
     if not sound:
         # Nothing else is left: the one whose pause ends first.
-        sound = [min(candidates, key=lambda record: record.availability.broken_until_s)]
+        sound = [min(candidates, key=lambda record: record.availability.failure_pause_ends_at_s)]
     best = _best(sound, request, limits, now_s)
-    if best.expected_ms > limits.longest_ms:
-        return NoChoice.ALL_FULL
+    if best.expected_ms > limits.max_expected_ms:
+        return NoReplicaReason.ALL_FULL
     return best
 
 
@@ -329,7 +333,9 @@
     """Whether a replica has what a request needs, as far as is known."""
     if not request.model:
         return True
-    lacks = record.availability.lacks
-    if lacks and (request.model in lacks or request.resource in lacks):
+    missing_resources = record.availability.missing_resources
+    if missing_resources and (
+        request.model in missing_resources or request.resource in missing_resources
+    ):
         return False
     return record.instance.holds(request.model, request.adapter)
--- a/src/crowsill/gateway/sending.py
+++ b/src/crowsill/gateway/sending.py
@@ -10,11 +10,11 @@
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.forwarded import SendingTerms, encode_forwarded
 from crowsill.gateway.pool import ConnectError
-from crowsill.gateway.progress import PendingPrompt, Progress, Trial
+from crowsill.gateway.progress import PendingPrompt, Probe, Progress
 from crowsill.gateway.repeat_guard import RepeatGuard
-from crowsill.gateway.replica_book import ReplicaRecord
 from crowsill.gateway.replica_connection import ReplicaConnection
 from crowsill.gateway.replica_feedback import ReplicaFeedback
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.replica_signals import ReplicaSignals
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import is_urgent
@@ -79,14 +79,14 @@
         unread = max(0, request.prompt_tokens - choice.known_tokens)
         record.in_flight += 1
         prompt = PendingPrompt(record, unread, self._loop.time())
-        trial = Trial(record.availability)
+        probe = Probe(record.availability)
         reusable = False
         connection = None
         try:
             connection = await context.pool.acquire(record.instance, deadline_s - self._loop.time())
             attempt = self._attempt_at(route, record, connection, closes)
             attempt.on_first_data = prompt.read
-            attempt.on_signals = functools.partial(self._take_signals, record, trial, attempt)
+            attempt.on_signals = functools.partial(self._take_signals, record, probe, attempt)
             # Looked at after the last wait: the connection may have taken a second to come up.
             if self._admission.recheck() is not None or self._repeats.quarantine() is not None:
                 return None
@@ -102,7 +102,7 @@
             self._feedback.note_pressure(route, attempt, sent_s)
             return end
         except ConnectError as error:
-            record.note_break(self._loop.time())
+            record.note_failure(self._loop.time())
             if error.is_refused:
                 context.crash_watch.note_refused(record.instance)
             context.unreachable(record)
@@ -113,7 +113,7 @@
         finally:
             record.in_flight -= 1
             prompt.read()
-            trial.end()
+            probe.end()
             self._end_attempt(record)
             if connection is not None:
                 context.pool.release(instance_id, connection, reusable)
@@ -122,7 +122,7 @@
         """Log that the request goes to a replica, and by which routes and directory."""
         context = self._context
         version = 0 if context.table is None else context.table.version
-        self._log.routed(choice, self._progress.sendings + 1, version, context.book.version)
+        self._log.routed(choice, self._progress.sendings + 1, version, context.registry.version)
 
     async def _granted_until_s(self, route: Route, record: ReplicaRecord) -> float | None:
         """Return until when the request may be sent to a replica; None if it may not now.
@@ -137,11 +137,11 @@
     def _is_still_meant(self, record: ReplicaRecord, granted_until_s: float) -> bool:
         """Whether the replica that was chosen may still be sent the request."""
         now_s = self._loop.time()
-        if self._context.book.find(record.instance.instance_id) is not record:
+        if self._context.registry.find(record.instance.instance_id) is not record:
             return False
         if record.availability.limit.binds(now_s) and now_s >= granted_until_s:
             return False
-        return record.availability.is_sendable(now_s)
+        return record.availability.accepts_on_open_connection(now_s)
 
     def _attempt_at(
         self,
@@ -155,7 +155,7 @@
         attempt = Attempt(self._caller, self._context.names, is_stream, closes)
         attempt.connection = connection
         if self._request.model:
-            attempt.on_gap = record.note_gap
+            attempt.on_gap = record.note_event_gap
         self._progress.attempt = attempt
         return attempt
 
@@ -172,8 +172,8 @@
         sent_s = attempt.sent_s = self._loop.time()
         terms = self._terms(route, record.instance.replica_name, deadline_s - sent_s)
         message = encode_forwarded(request, self._context.names, terms)
-        if record.availability.is_resting(sent_s):
-            record.availability.sent_in_rest += 1
+        if record.availability.is_backing_off(sent_s):
+            record.availability.sent_in_backoff += 1
             SENT_IN_REST.inc()
         if record.availability.limit.holds:
             record.availability.sent_under_limit += 1
@@ -186,15 +186,15 @@
     def _take_signals(
         self,
         record: ReplicaRecord,
-        trial: Trial,
+        probe: Probe,
         attempt: Attempt,
         status: int,
         signals: ReplicaSignals,
     ) -> None:
         """Take in the head of the answer to a sending."""
-        trial.end()
+        probe.end()
         self._feedback.take_signals(record, attempt.sent_s, status, signals)
-        if signals.rest_s > 0.0:
+        if signals.backoff_s > 0.0:
             # What it turned away may go there again when its rest is over.
             self._progress.tried.discard(record.instance.instance_id)
 
--- a/src/crowsill/gateway/wait_estimates.py
+++ b/src/crowsill/gateway/wait_estimates.py
@@ -1,9 +1,9 @@
 """When a replica may take a request that none takes now, from what the gateway knows. Pure."""
 
 from crowsill.gateway.holding import WaitEstimate
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice, accepts, first_to_open, shortest_load_s
+from crowsill.gateway.selection import NoReplicaReason, accepts, first_to_open, min_load_s
 from crowsill.model.routes import ModelWeights
 
 # Time within which the control group looks at what is asked for, and tells gateways if it loads it.
@@ -35,7 +35,7 @@
 
 
 def estimate_wait(
-    why: NoChoice,
+    reason: NoReplicaReason,
     request: CallerRequest,
     *,
     records: list[ReplicaRecord],
@@ -47,7 +47,7 @@
     """Return when a replica may take a request.
 
     Args:
-        why: Why none does now.
+        reason: Why none does now.
         request: The request.
         records: Instances of its service.
         weights: The model that it needs, if the routes know it.
@@ -55,12 +55,12 @@
         now_s: Clock.
         is_urgent: Whether the request cannot wait.
     """
-    if why is NoChoice.NO_REPLICA:
+    if reason is NoReplicaReason.NO_REPLICA:
         return _hoped(NO_REPLICA_S, CHANCE_NO_REPLICA, NO_REPLICA_S, NO_REPLICA_S, waited_s)
-    if why is NoChoice.ALL_CLOSED:
+    if reason is NoReplicaReason.ALL_CLOSED:
         first = first_to_open(records, request, now_s, is_urgent)
         return _until_open(first, now_s, is_urgent)
-    if why is not NoChoice.NO_MODEL:
+    if reason is not NoReplicaReason.NO_MODEL:
         return _hoped(FULL_S, CHANCE_FULL, FULL_S, FULL_HALF_S, waited_s)
     return _without_model(request, records, weights, waited_s, now_s)
 
@@ -78,20 +78,22 @@
         # Only its adapter is missing.
         return _hoped(ADAPTER_S, CHANCE_ADAPTER, ADAPTER_S, ADAPTER_HALF_S, waited_s)
     due_s = [
-        record.ready_s[request.model] for record in accepting if request.model in record.ready_s
+        record.model_ready_at_s[request.model]
+        for record in accepting
+        if request.model in record.model_ready_at_s
     ]
     if due_s:
         ready_s = _remaining_s(min(due_s), now_s)
         return WaitEstimate(ready_s, CHANCE_COMING, ready_s)
     if weights is None:
         return WaitEstimate(float("inf"), 0.0, 0.0)
-    load_s = shortest_load_s(weights, records) + ORDER_S
+    load_s = min_load_s(weights, records) + ORDER_S
     return _hoped(load_s, CHANCE_ASKED, DECISION_S, ASKED_HALF_S, waited_s)
 
 
 def _until_open(record: ReplicaRecord | None, now_s: float, is_urgent: bool) -> WaitEstimate:
     """When a rest is over, or a request granted, is known exactly; not whether others are first."""
-    closed_s = 0.0 if record is None else record.availability.opens_for_s(is_urgent) - now_s
+    closed_s = 0.0 if record is None else record.availability.opens_at_s(is_urgent) - now_s
     return WaitEstimate(closed_s, CHANCE_OPENED, closed_s)
 
 
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -19,10 +19,10 @@
     waits,
 )
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import is_urgent
-from crowsill.gateway.selection import NoChoice, first_to_open
+from crowsill.gateway.selection import NoReplicaReason, first_to_open
 from crowsill.gateway.wait_estimates import estimate_wait
 from crowsill.model.routes import ModelWeights, Route
 
@@ -37,13 +37,13 @@
     """A request that is given up because no replica takes it.
 
     Attributes:
-        why: What was in the way last.
+        reason: What was in the way last.
         back_s: When the caller should come back.
         detail: What closes the replica that opens first, and for how long; for the reader of the
             refusal.
     """
 
-    why: NoChoice
+    reason: NoReplicaReason
     back_s: float
     detail: str = ""
 
@@ -67,27 +67,29 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
 
-    async def wait(self, why: NoChoice) -> bool:
+    async def wait(self, reason: NoReplicaReason) -> bool:
         """Wait for something to change; return False when it is time to give up."""
-        if why is NoChoice.ALL_TRIED:
+        if reason is NoReplicaReason.ALL_TRIED:
             return False
         request = self._request
-        is_crowded = why is NoChoice.ALL_FULL or self._is_limited(why)
-        if is_crowded and self._progress.held_for is not why and request.model:
+        is_crowded = reason is NoReplicaReason.ALL_FULL or self._is_limited(reason)
+        if is_crowded and self._progress.held_for is not reason and request.model:
             self._context.demand.note_pressed(self._log.service, request.model)
-        if why is NoChoice.NO_MODEL and self._weights() is not None:
+        if reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
             self._context.demand.ask_for(self._log.service, request.model, request.adapter)
-        left_s = self._context.hold_limit_s() - self._loop.time()
-        if left_s <= 0.0 or not waits(self._estimate(why), self._wait_budget(), self._answer_s()):
+        remaining_s = self._context.hold_limit_s() - self._loop.time()
+        if remaining_s <= 0.0 or not waits(
+            self._estimate(reason), self._wait_budget(), self._answer_s()
+        ):
             return False
-        if self._progress.held_for is not why:
-            self._progress.held_for = why
-            self._log.held(why, self._context.book.version)
+        if self._progress.held_for is not reason:
+            self._progress.held_for = reason
+            self._log.held(reason, self._context.registry.version)
         # The control group forgets what is not asked for again.
-        poll_s = HOLD_POLL_S if why is NoChoice.ALL_FULL else ASK_AGAIN_S
-        if why is NoChoice.ALL_CLOSED:
-            return await self._wait_to_open(min(left_s, poll_s))
-        await self._context.changed(min(left_s, poll_s))
+        poll_s = HOLD_POLL_S if reason is NoReplicaReason.ALL_FULL else ASK_AGAIN_S
+        if reason is NoReplicaReason.ALL_CLOSED:
+            return await self._wait_to_open(min(remaining_s, poll_s))
+        await self._context.changed(min(remaining_s, poll_s))
         return True
 
     async def _wait_to_open(self, time_s: float) -> bool:
@@ -99,7 +101,7 @@
         awaited = self._first_to_open()
         if awaited is None:
             return True
-        waiting = self._context.book.waiting_to_open
+        waiting = self._context.registry.waiting_to_open
         place = (awaited.instance.instance_id, self._is_urgent)
         if waiting[place] >= MOST_WAITING_TO_OPEN:
             return False
@@ -114,52 +116,52 @@
 
     def _first_to_open(self) -> ReplicaRecord | None:
         """Return the replica that opens first, of those that could run the request."""
-        records = self._context.book.of_service(self._log.service)
+        records = self._context.registry.of_service(self._log.service)
         return first_to_open(records, self._request, self._loop.time(), self._is_urgent)
 
-    def _is_limited(self, why: NoChoice) -> bool:
+    def _is_limited(self, reason: NoReplicaReason) -> bool:
         """Whether the request waits for what the limit of a replica allows."""
-        record = self._first_to_open() if why is NoChoice.ALL_CLOSED else None
+        record = self._first_to_open() if reason is NoReplicaReason.ALL_CLOSED else None
         if record is None:
             return False
         closed = record.availability.exclusion(self._loop.time(), self._is_urgent)
-        return closed is not None and closed.why is ExclusionReason.LIMITED
+        return closed is not None and closed.reason is ExclusionReason.RATE_LIMITED
 
-    def give_up(self, why: NoChoice, rank: int) -> RefusedRequest:
+    def give_up(self, reason: NoReplicaReason, rank: int) -> RefusedRequest:
         """Decide when a request that is given up should come back.
 
         Args:
-            why: Why no replica takes it.
+            reason: Why no replica takes it.
             rank: Its rank.
         """
-        estimate, budget = self._estimate(why), self._wait_budget()
+        estimate, budget = self._estimate(reason), self._wait_budget()
         record = self._first_to_open()
-        if record is not None and self._is_limited(why):
+        if record is not None and self._is_limited(reason):
             now_s = self._loop.time()
-            ready_s = record.availability.promise_return_s(now_s, self._is_urgent) - now_s
+            ready_s = record.availability.reserve_return_at_s(now_s, self._is_urgent) - now_s
             estimate = replace(estimate, ready_s=ready_s)
         spread = self._context.random.random()
         back_s = return_s(estimate, budget, rank, spread)
         if self._context.is_stopping():
             # Another gateway can wait for what this one has no time for.
             back_s = STOPPING_RETRY_S
-        elif why is NoChoice.NO_MODEL and self._weights() is not None:
+        elif reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
             request = self._request
             self._context.demand.keep_asking(self._log.service, request.model, request.adapter)
-        return RefusedRequest(why, back_s, self._closed_detail())
+        return RefusedRequest(reason, back_s, self._closed_detail())
 
     def _wait_budget(self) -> WaitBudget:
         request, route = self._request, self._route
         waited_s = self._loop.time() - request.arrived_s
         return wait_budget_of(route, request.wait_ms, waited_s)
 
-    def _estimate(self, why: NoChoice) -> WaitEstimate:
+    def _estimate(self, reason: NoReplicaReason) -> WaitEstimate:
         """When a replica may take the request."""
         request, now_s = self._request, self._loop.time()
-        records = self._context.book.of_service(self._log.service)
+        records = self._context.registry.of_service(self._log.service)
         waited_s = now_s - request.arrived_s
         return estimate_wait(
-            why,
+            reason,
             request,
             records=records,
             weights=self._weights(),
@@ -174,11 +176,11 @@
         if record is None:
             return ""
         what = "asked for rest"
-        if self._is_limited(NoChoice.ALL_CLOSED):
+        if self._is_limited(NoReplicaReason.ALL_CLOSED):
             what = "has had all that its limit allows"
-        left_s = record.availability.opens_for_s(self._is_urgent) - self._loop.time()
+        remaining_s = record.availability.opens_at_s(self._is_urgent) - self._loop.time()
         instance_id = record.instance.instance_id
-        return f"every replica that could run it {what}: {instance_id} for {left_s:.2f} s more"
+        return f"every replica that could run it {what}: {instance_id} for {remaining_s:.2f} s more"
 
     def _weights(self) -> ModelWeights | None:
         """The model that the request needs, if the routes know it."""
@@ -193,5 +195,5 @@
         request = self._request
         if not request.model:
             return 0.0
-        pace = self._context.book.pace(self._log.service)
-        return pace.quickest_ms(request.model, request.prompt_tokens) / 1000.0
+        latency_model = self._context.registry.latency_model(self._log.service)
+        return latency_model.quickest_ms(request.model, request.prompt_tokens) / 1000.0
--- a/src/crowsill_lab/bench/choice.py
+++ b/src/crowsill_lab/bench/choice.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import SelectionLimits, choose
 from crowsill.model.instances import HeldModel, Instance
--- a/src/crowsill_lab/bench/returns.py
+++ b/src/crowsill_lab/bench/returns.py
@@ -31,10 +31,10 @@
 WAYS: dict[str, MayTake] = {
     "all at once": lambda _told, _in_flight, _now_s: True,
     "one first": lambda availability, _in_flight, _now_s: (
-        availability.most_trials is None or availability.trials < availability.most_trials
+        availability.max_probes is None or availability.probes < availability.max_probes
     ),
-    "one first, half of what it had": lambda availability, in_flight, now_s: availability.has_room(
-        in_flight, now_s
+    "one first, half of what it had": lambda availability, in_flight, now_s: (
+        availability.has_capacity(in_flight, now_s)
     ),
 }
 
@@ -101,7 +101,7 @@
         open_to = [
             number
             for number, link in enumerate(links)
-            if not link.availability.is_resting(now_s)
+            if not link.availability.is_backing_off(now_s)
             and self.may_take(link.availability, link.in_flight, now_s)
         ]
         if not open_to:
@@ -113,13 +113,13 @@
         link = self.links[gateway][replica]
         link.in_flight += 1
         if self.running[replica] >= PLACES:
-            over_s = link.availability.rest_until_s
+            over_s = link.availability.backoff_ends_at_s
             self.rests += 1
             self.again += 0.0 < now_s - over_s < SOON_S
-            link.availability.note_rest(REST_S, now_s, link.in_flight)
+            link.availability.note_backoff(REST_S, now_s, link.in_flight)
             link.in_flight -= 1
             return
-        link.availability.note_taken(now_s)
+        link.availability.note_accepted(now_s)
         self.running[replica] += 1
         self.served += 1
         ends_s = now_s + self.random.expovariate(1.0 / RUN_S)
--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -7,7 +7,7 @@
 from crowsill.control.role import open_control_role
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.follower import GatewayFollower, GatewayHooks
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.model.route_codec import pack
 from crowsill.platform_ports import PlatformPorts
 from crowsill.settings import Address, ControlSettings, PeerSettings, Settings
@@ -115,7 +115,7 @@
         )
         local = LocalIdentity("g1", "g1.1", "z", KEY)
         self.follower = GatewayFollower(
-            local, [first], ReplicaBook(), self.guard, hooks=hooks, random=Random(1)
+            local, [first], ReplicaRegistry(), self.guard, hooks=hooks, random=Random(1)
         )
         self._task = None
 
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -9,7 +9,7 @@
 from crowsill.clock import monotonic_s
 from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.role import GatewayRole
-from crowsill.gateway.routing_table import GatewayTable
+from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.model.instances import HeldModel, Instance, InstanceState
 from crowsill.model.route_codec import JsonRouteCodec
 from crowsill.model.routes import (
@@ -133,7 +133,7 @@
         await self.role.start()
         for replica in self._replicas:
             await replica.start()
-        self.role._table = GatewayTable(self._configuration)
+        self.role._table = GatewayRoutingTable(self._configuration)
         self.role._on_current(1, monotonic_s())
         self.adopt(
             [
@@ -149,18 +149,18 @@
             msgspec.structs.replace(item, instance_id=f"{item.instance_id}e", service="engines")
             for item in instances
         ]
-        version = self.role.book.version + 1
+        version = self.role.registry.version + 1
         change = DirectoryChange(version, [*instances, *engines], [])
-        self.role._on_directory(self.role.book.adopt(change, True, time.monotonic()))
+        self.role._on_directory(self.role.registry.adopt(change, True, time.monotonic()))
 
     def drain(self, number):
         """Let the gateway learn that a replica is draining."""
-        record = self.role.book.find(f"i-{number}")
+        record = self.role.registry.find(f"i-{number}")
         found = record.instance
         state = InstanceState.DRAINING
         gone = Instance(found.instance_id, found.service, found.address, "z1", 8, state)
-        change = DirectoryChange(self.role.book.version + 1, [gone], [])
-        self.role._on_directory(self.role.book.adopt(change, False, time.monotonic()))
+        change = DirectoryChange(self.role.registry.version + 1, [gone], [])
+        self.role._on_directory(self.role.registry.adopt(change, False, time.monotonic()))
 
     async def __aexit__(self, *_):
         await self.role.stop()
--- a/tests/patterns/engine_site.py
+++ b/tests/patterns/engine_site.py
@@ -14,9 +14,9 @@
 from crowsill.control.replica_limits import ReplicaLimits
 from crowsill.gateway.follower import HEARTBEAT_S
 from crowsill.gateway.progress import PendingPrompt
-from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice, SelectionLimits, choose
+from crowsill.gateway.selection import NoReplicaReason, SelectionLimits, choose
 from crowsill.model.instances import HeldModel, Instance
 from crowsill.routing.engine_pace import EnginePace
 from crowsill.state.directory import DirectoryChange
@@ -117,10 +117,10 @@
     def __init__(self, number, instances, random):
         self.zone = f"z{number % ZONES}"
         self.random = random
-        self.pace = EnginePace()
+        self.latency_model = EnginePace()
         self.name = f"g-{number}"
-        self.book = ReplicaBook()
-        self.book.adopt(DirectoryChange(1, instances, []), True, 0.0)
+        self.registry = ReplicaRegistry()
+        self.registry.adopt(DirectoryChange(1, instances, []), True, 0.0)
         self.idle = dict.fromkeys([item.instance_id for item in instances], 0)
 
     def choose(self, request, now_s):
@@ -128,12 +128,12 @@
         limits = SelectionLimits(
             self.zone,
             SLOTS,
-            longest_ms=LONGEST_EVENT_MS,
+            max_expected_ms=LONGEST_EVENT_MS,
             has_idle=lambda instance_id: self.idle[instance_id] > 0,
-            pace=self.pace,
+            latency_model=self.latency_model,
             random=self.random,
         )
-        return choose(self.book.of_service(SERVICE), request, set(), limits, now_s)
+        return choose(self.registry.of_service(SERVICE), request, set(), limits, now_s)
 
 
 @dataclass
@@ -236,13 +236,13 @@
 
     def _beat(self, now_s, gateway):
         """Have a gateway tell what it has at engines, and hear what all have."""
-        own = gateway.book.in_use()
+        own = gateway.registry.in_use()
         self.use.note(gateway.name, own, now_s)
         if now_s >= self._summed_s + REPORT_INTERVAL_S:
             self._summed_s, self._total = now_s, self.use.sum(now_s)
-        gateway.book.note_use_of_all(self._total, own, now_s)
-        self.limits.note(gateway.book.limits(now_s), now_s)
-        gateway.book.note_limits(self.limits.told(now_s), now_s)
+        gateway.registry.note_total_use(self._total, own, now_s)
+        self.limits.note(gateway.registry.limit_reports(now_s), now_s)
+        gateway.registry.note_limit_reports(self.limits.told(now_s), now_s)
         self._at(now_s + HEARTBEAT_S * self.random.uniform(0.95, 1.05), self._beat, gateway)
 
     def join(self, at_s, held):
@@ -258,8 +258,8 @@
             self.is_working.append(False)
             self.outcome.by_engine[len(self.outcome.by_engine)] = 0
         for gateway in self.gateways:
-            change = DirectoryChange(gateway.book.version + 1, joined, [])
-            gateway.book.adopt(change, False, now_s)
+            change = DirectoryChange(gateway.registry.version + 1, joined, [])
+            gateway.registry.adopt(change, False, now_s)
             gateway.idle.update(dict.fromkeys([item.instance_id for item in joined], 0))
 
     def _arrive(self, now_s):
@@ -273,9 +273,11 @@
             b"POST", b"/", [], b"", True, now_s, model=model, prompt_tokens=prompt_tokens
         )
         choice = gateway.choose(request, now_s)
-        while not isinstance(choice, NoChoice) and not self._is_granted(choice.record, now_s):
+        while not isinstance(choice, NoReplicaReason) and not self._is_granted(
+            choice.record, now_s
+        ):
             choice = gateway.choose(request, now_s)
-        if isinstance(choice, NoChoice):
+        if isinstance(choice, NoReplicaReason):
             outcome.refused += 1
             return
         number = self._count(gateway, choice.record)
@@ -376,9 +378,11 @@
         record.note_success()
         request = stream.request
         first_s = stream.first_s - stream.sent_s
-        quickest_s = gateway.pace.quickest_ms(request.model, request.prompt_tokens) / 1000.0
-        record.note_time(first_s, quickest_s, now_s)
-        gateway.pace.learn(request.model, request.prompt_tokens, first_s * 1000.0)
+        quickest_s = (
+            gateway.latency_model.quickest_ms(request.model, request.prompt_tokens) / 1000.0
+        )
+        record.note_response_time(first_s, quickest_s, now_s)
+        gateway.latency_model.learn(request.model, request.prompt_tokens, first_s * 1000.0)
         is_in_time = first_s <= FIRST_EVENT_S and stream.longest_gap_s <= PAUSE_S
         self.outcome.in_time += is_in_time
 
--- a/tests/patterns/test_gateways_without_knowledge.py
+++ b/tests/patterns/test_gateways_without_knowledge.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import SelectionLimits, choose
 from crowsill.model.instances import HeldModel, Instance
--- a/tests/patterns/test_model_that_is_on_its_way.py
+++ b/tests/patterns/test_model_that_is_on_its_way.py
@@ -10,9 +10,9 @@
 import pytest
 
 from crowsill.gateway.holding import return_s, wait_budget_of, waits
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.selection import NoReplicaReason
 from crowsill.gateway.wait_estimates import estimate_wait
 from crowsill.model.instances import ComingModel, HeldModel, Instance
 from crowsill.model.routes import ModelWeights, Route, RouteKind, WeightedService
@@ -42,13 +42,13 @@
         coming=[ComingModel("m", LOAD_S)],
     )
     record = ReplicaRecord(instance)
-    record.note_coming(0.0)
+    record.note_loading_models(0.0)
     request = CallerRequest(b"POST", b"/", [], b"", True, arrived_s, model="m")
     now_s = arrived_s
     while now_s < LOAD_S:
         waited_s = now_s - arrived_s
         estimate = estimate_wait(
-            NoChoice.NO_MODEL,
+            NoReplicaReason.NO_MODEL,
             request,
             records=[record],
             weights=MODEL,
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crowsill.gateway.availability import MOST_TRIALS, Availability, Exclusion, ExclusionReason
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.availability import MAX_PROBES, Availability, Exclusion, ExclusionReason
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.gateway.replica_watch import ReplicaWatch
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import Choice, NoChoice, SelectionLimits, choose
+from crowsill.gateway.selection import Choice, NoReplicaReason, SelectionLimits, choose
 from crowsill.model.instances import Instance, InstanceState
 from crowsill.state.directory import DirectoryChange
 
@@ -58,45 +58,45 @@
 
     def __init__(self):
         self.listed = Instance("a@1", "s", "127.0.0.1:1", "z", 4)
-        self.book = ReplicaBook()
+        self.registry = ReplicaRegistry()
         self.now_s, self.version = 0.0, 0
-        self.rest_until_s, self.leaves = 0.0, False
-        self.limited_until_s = 0.0
-        self.drains, self.is_unreachable, self.broken_until_s = False, False, 0.0
+        self.backoff_ends_at_s, self.leaves = 0.0, False
+        self.limit_opens_at_s = 0.0
+        self.drains, self.is_unreachable, self.failure_pause_ends_at_s = False, False, 0.0
         self.snapshot(True)
 
     def _change(self, listed, removed, whole):
         self.version += 1
         change = DirectoryChange(self.version, listed, removed)
-        self.book.adopt(change, whole, self.now_s)
+        self.registry.adopt(change, whole, self.now_s)
 
     def rest(self, record, rest_s):
-        record.availability.note_rest(rest_s, self.now_s)
-        self.rest_until_s = max(self.rest_until_s, self.now_s + rest_s)
+        record.availability.note_backoff(rest_s, self.now_s)
+        self.backoff_ends_at_s = max(self.backoff_ends_at_s, self.now_s + rest_s)
 
     def limited(self, record, closed_s):
         record.availability.note_limit(1.0, self.now_s)
-        self.limited_until_s = self.now_s + closed_s
-        record.availability.close_for_limit(self.limited_until_s)
+        self.limit_opens_at_s = self.now_s + closed_s
+        record.availability.close_for_limit(self.limit_opens_at_s)
 
     def leave(self, record, _):
-        record.note_leaving(self.now_s)
+        record.note_draining(self.now_s)
         self.leaves = True
 
     def taken(self, record, _):
-        record.availability.note_taken(self.now_s)
+        record.availability.note_accepted(self.now_s)
 
     def success(self, record, _):
         record.note_success()
         self._forget_calls()
 
     def _forget_calls(self):
-        self.is_unreachable, self.broken_until_s = False, 0.0
+        self.is_unreachable, self.failure_pause_ends_at_s = False, 0.0
 
     def break_off(self, record, _):
-        record.note_break(self.now_s)
-        self.broken_until_s = record.availability.broken_until_s
-        assert self.broken_until_s > self.now_s
+        record.note_failure(self.now_s)
+        self.failure_pause_ends_at_s = record.availability.failure_pause_ends_at_s
+        assert self.failure_pause_ends_at_s > self.now_s
 
     def unreachable(self, record, _):
         record.availability.note_unreachable()
@@ -128,24 +128,24 @@
         self.now_s += time_s
 
     def check(self):
-        record = self.book.find("a@1")
+        record = self.registry.find("a@1")
         if record is None:
             return
-        resting = self.now_s < self.rest_until_s
-        assert max(0.0, record.availability.rest_until_s) == self.rest_until_s
-        assert record.availability.is_resting(self.now_s) is resting
+        resting = self.now_s < self.backoff_ends_at_s
+        assert max(0.0, record.availability.backoff_ends_at_s) == self.backoff_ends_at_s
+        assert record.availability.is_backing_off(self.now_s) is resting
         assert record.instance.accepts_work is not (self.leaves or self.drains)
         reasons = {
-            ExclusionReason.LEAVING: self.leaves,
-            ExclusionReason.DRAINING: self.drains,
-            ExclusionReason.RESTING: resting,
-            ExclusionReason.LIMITED: self.now_s < self.limited_until_s,
+            ExclusionReason.REPORTED_DRAINING: self.leaves,
+            ExclusionReason.LISTED_DRAINING: self.drains,
+            ExclusionReason.BACKING_OFF: resting,
+            ExclusionReason.RATE_LIMITED: self.now_s < self.limit_opens_at_s,
             ExclusionReason.UNREACHABLE: self.is_unreachable,
-            ExclusionReason.BROKEN: self.now_s < self.broken_until_s,
+            ExclusionReason.FAILING: self.now_s < self.failure_pause_ends_at_s,
         }
         expected = next((why for why, holds in reasons.items() if holds), None)
         found = record.availability.exclusion(self.now_s)
-        assert (None if found is None else found.why) is expected
+        assert (None if found is None else found.reason) is expected
         self._check_choice(record, expected, resting)
 
     def _check_choice(self, record, expected, resting):
@@ -153,14 +153,14 @@
         is_gone = self.leaves or self.drains or self.is_unreachable
         chosen = choose([record], PLAIN, set(), SelectionLimits("z", 10), self.now_s)
         if is_gone:
-            assert chosen is NoChoice.NO_REPLICA
-        elif resting or self.now_s < self.limited_until_s:
-            assert chosen is NoChoice.ALL_CLOSED
+            assert chosen is NoReplicaReason.NO_REPLICA
+        elif resting or self.now_s < self.limit_opens_at_s:
+            assert chosen is NoReplicaReason.ALL_CLOSED
         else:
-            assert isinstance(chosen, Choice) and expected in (None, ExclusionReason.BROKEN)
+            assert isinstance(chosen, Choice) and expected in (None, ExclusionReason.FAILING)
         # On a connection that is open already only its own word and the directory's count.
         may = not (self.leaves or self.drains or resting)
-        assert record.availability.is_sendable(self.now_s) is may
+        assert record.availability.accepts_on_open_connection(self.now_s) is may
 
 
 @settings(max_examples=500)
@@ -168,7 +168,7 @@
 def test_no_rest_is_shortened_and_no_leaving_undone_within_a_life(steps):
     history = History()
     for step, value in steps:
-        record = history.book.find("a@1")
+        record = history.registry.find("a@1")
         if step in OF_A_RECORD and record is not None:
             getattr(history, step)(record, value)
         elif step not in OF_A_RECORD:
@@ -177,25 +177,25 @@
 
 
 def test_the_next_life_of_a_replica_knows_nothing_of_the_rest_or_the_leaving_of_the_last():
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     first = Instance("a@1", "s", "127.0.0.1:1", "z", 4, replica="a", born_ms=1)
-    book.adopt(DirectoryChange(1, [first], []), True, 0.0)
-    book.find("a@1").availability.note_rest(100.0, 0.0)
-    book.find("a@1").note_leaving(0.0)
+    registry.adopt(DirectoryChange(1, [first], []), True, 0.0)
+    registry.find("a@1").availability.note_backoff(100.0, 0.0)
+    registry.find("a@1").note_draining(0.0)
     later = msgspec.structs.replace(first, instance_id="a@2", born_ms=2)
-    book.adopt(DirectoryChange(2, [later], ["a@1"]), False, 0.0)
-    assert book.find("a@2").availability.exclusion(0.0) is None
+    registry.adopt(DirectoryChange(2, [later], ["a@1"]), False, 0.0)
+    assert registry.find("a@2").availability.exclusion(0.0) is None
 
 
 def test_what_was_sent_before_a_rest_opens_nothing_after_it():
     availability = Availability()
-    availability.note_rest(1.0, now_s=10.0)
-    availability.note_taken(sent_s=9.9)
-    assert availability.most_trials == 1
+    availability.note_backoff(1.0, now_s=10.0)
+    availability.note_accepted(sent_s=9.9)
+    assert availability.max_probes == 1
     taken = 0
-    while availability.most_trials is not None:
-        assert availability.most_trials <= MOST_TRIALS
-        availability.note_taken(sent_s=11.0)
+    while availability.max_probes is not None:
+        assert availability.max_probes <= MAX_PROBES
+        availability.note_accepted(sent_s=11.0)
         taken += 1
     assert taken == 5
 
@@ -216,18 +216,18 @@
 
     async def scenario():
         listed = Instance("a@1", "s", "127.0.0.1:1", "z", 4)
-        book = ReplicaBook()
-        watch = ReplicaWatch(book, NoPool(), lambda _notice: True, lambda: None)
-        book.adopt(DirectoryChange(1, [listed], []), True, 0.0)
-        former = book.find("a@1")
-        former.availability.note_rest(1.0, now_s=0.0)
-        book.adopt(DirectoryChange(2, [], ["a@1"]), False, 0.0)
+        registry = ReplicaRegistry()
+        watch = ReplicaWatch(registry, NoPool(), lambda _notice: True, lambda: None)
+        registry.adopt(DirectoryChange(1, [listed], []), True, 0.0)
+        former = registry.find("a@1")
+        former.availability.note_backoff(1.0, now_s=0.0)
+        registry.adopt(DirectoryChange(2, [], ["a@1"]), False, 0.0)
         watch.unreachable(former)
-        book.adopt(DirectoryChange(3, [listed], []), False, 0.0)
+        registry.adopt(DirectoryChange(3, [listed], []), False, 0.0)
         watch.unreachable(former)
-        found = book.find("a@1").availability
-        assert found.exclusion(0.5) == Exclusion(ExclusionReason.RESTING, 1.0)
-        assert found.exclusion(1.5) is None and found.closed_until_s == 1.0
+        found = registry.find("a@1").availability
+        assert found.exclusion(0.5) == Exclusion(ExclusionReason.BACKING_OFF, 1.0)
+        assert found.exclusion(1.5) is None and found.available_at_s == 1.0
         await watch.stop()
 
     asyncio.run(scenario())
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import Choice, SelectionLimits, choose, own_estimate
 from crowsill.model.instances import HeldModel, Instance
@@ -53,8 +53,8 @@
     # were on two engines, whose first events still came in time.
     pausing, calm = record("a"), record("b")
     for step in range(8):
-        pausing.note_gap(0.3, step / 10.0)
-        calm.note_gap(0.05, step / 10.0)
+        pausing.note_event_gap(0.3, step / 10.0)
+        calm.note_event_gap(0.05, step / 10.0)
     chosen = choose([pausing, calm], request(), set(), SelectionLimits("z", 10), 0.8)
     assert chosen.record is calm
 
@@ -64,12 +64,14 @@
     # seemed to have prompts of a second's reading before them; these were read long before.
     busy = record("a")
     busy.in_flight = 20
-    chosen = choose([busy], request(), set(), SelectionLimits("z", 100, longest_ms=1000.0), 0.0)
+    chosen = choose(
+        [busy], request(), set(), SelectionLimits("z", 100, max_expected_ms=1000.0), 0.0
+    )
     assert isinstance(chosen, Choice) and chosen.expected_ms < 200.0
 
 
 def test_an_engine_that_answers_nobody_is_known_by_what_waits_there():
     silent = record("a")
-    silent.unanswered_s[1] = 10.0
+    silent.unanswered_sent_at_s[1] = 10.0
     estimate = own_estimate(silent, request(), SelectionLimits("z", 10), 11.5)
     assert estimate.expected_ms > 1500.0
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -50,7 +50,7 @@
             # It is held for a copy elsewhere, not refused as if the dead one were full.
             assert status == 503 and b'"no_replica"' in body
             assert loop.time() - started_s > 0.2
-            assert here.role.book.find("i-1e").availability.is_unreachable
+            assert here.role.registry.find("i-1e").availability.is_unreachable
 
     run(scenario())
 
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -7,7 +7,7 @@
 from crowsill.gateway import follower as follower_module
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.follower import GatewayFollower, GatewayHooks
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.logs import configure_logs
 from crowsill.model.instances import Instance
 from crowsill.settings import Address
@@ -36,7 +36,7 @@
     guard = CrashGuard()
     hooks = GatewayHooks(lambda document: None, lambda ended: None, note_current, guard.adopt)
     local = LocalIdentity("g1", "g1.1", "z", b"k" * 32)
-    return GatewayFollower(local, [], ReplicaBook(), guard, hooks=hooks, random=Random(1))
+    return GatewayFollower(local, [], ReplicaRegistry(), guard, hooks=hooks, random=Random(1))
 
 
 def routes(version):
--- a/tests/test_gateway_tenants.py
+++ b/tests/test_gateway_tenants.py
@@ -8,7 +8,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.gateway.quota import GrantClient
-from crowsill.gateway.routing_table import GatewayTable
+from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.model.tenants import RateUnit, Tenant
 from crowsill.transport.messages import GrantReply, NotLeader
 from tests.gateway_world import NAMES, good, not_run, routes, run, silent, world
@@ -127,7 +127,7 @@
             caller = await here.caller()
             caller.send("once", headers=[KEY])
             await asyncio.sleep(0.2)
-            here.role._table = GatewayTable(keyed(Tenant("shop"), version=2))
+            here.role._table = GatewayRoutingTable(keyed(Tenant("shop"), version=2))
             here.role._wake()
             assert (await caller.head())[0] == 401
             assert here._replicas[0].requests == []
@@ -280,7 +280,7 @@
             leader = limited(here, GrantReply(True, 0.0, 30.0))
             assert (await (await here.caller()).ask("once", "r1", headers=[KEY]))[0] == 503
             here._replicas[0].script = good
-            here.role.book.find("i-1").availability.lacks.clear()
+            here.role.registry.find("i-1").availability.missing_resources.clear()
             assert (await (await here.caller()).ask("once", "r2", headers=[KEY]))[0] == 200
             assert len(leader.asked) == 1
 
--- a/tests/test_gateway_use.py
+++ b/tests/test_gateway_use.py
@@ -14,7 +14,7 @@
 from crowsill.control.gateway_use import REPORT_LIFETIME_S, TOTAL_LIFETIME_S, GatewayUse
 from crowsill.control.quota_grants import QuotaBounds, QuotaGrants
 from crowsill.control.service import MemberService
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.model.instances import Instance
 from crowsill.model.replica_use import NO_USE, ReplicaUse
 from crowsill.state.directory import DirectoryChange
@@ -24,9 +24,9 @@
 from crowsill.transport.stream import LocalIdentity
 
 
-def book(*names):
+def registry(*names):
     listed = [Instance(name, "s", "127.0.0.1:1", "z", 4) for name in names]
-    made = ReplicaBook()
+    made = ReplicaRegistry()
     made.adopt(DirectoryChange(1, listed, []), True, 0.0)
     return made
 
@@ -62,12 +62,12 @@
 
 
 def test_a_gateway_leaves_out_what_it_has_itself():
-    here = book("a", "b", "c")
+    here = registry("a", "b", "c")
     here.find("a").in_flight = 2
     here.find("a").pending_prompt_tokens = 300
     own = here.in_use()
     assert own == {"a": ReplicaUse(2, 300)}
-    here.note_use_of_all({"a": ReplicaUse(5, 900), "b": ReplicaUse(1)}, own, 3.0)
+    here.note_total_use({"a": ReplicaUse(5, 900), "b": ReplicaUse(1)}, own, 3.0)
     assert here.find("a").peer_use == ReplicaUse(3, 600)
     assert here.find("b").peer_use == ReplicaUse(1)
     assert here.find("c").peer_use == NO_USE
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -14,9 +14,9 @@
     wait_budget_of,
     waits,
 )
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.selection import NoReplicaReason
 from crowsill.gateway.wait_estimates import CHANCE_COMING, estimate_wait
 from crowsill.model.instances import ComingModel, Instance
 from crowsill.model.routes import ModelWeights, Route, RouteKind
@@ -112,7 +112,7 @@
     return CallerRequest(b"POST", b"/", [], b"", True, 0.0, model=model)
 
 
-def estimate(records, why=NoChoice.NO_MODEL, waited_s=0.0, now_s=0.0):
+def estimate(records, why=NoReplicaReason.NO_MODEL, waited_s=0.0, now_s=0.0):
     weights = ModelWeights("m", 100.0, 9.0, 0.8, 2.0)
     asked = request_for("m")
     return estimate_wait(
@@ -122,10 +122,10 @@
 
 def test_a_load_under_way_is_known_by_when_it_began():
     record = engine(coming=[ComingModel("m", 2.0)])
-    record.note_coming(10.0)
+    record.note_loading_models(10.0)
     assert estimate([record], now_s=10.5) == WaitEstimate(1.5, CHANCE_COMING, 1.5)
     # Later words on the same engine repeat it, and what is overdue may take as long again.
-    record.note_coming(11.0)
+    record.note_loading_models(11.0)
     assert estimate([record], now_s=12.8).ready_s == 12.8 - 12.0
 
 
@@ -138,6 +138,6 @@
 def test_a_model_that_the_routes_do_not_know_never_comes():
     asked = request_for("nobody")
     found = estimate_wait(
-        NoChoice.NO_MODEL, asked, records=[engine()], weights=None, waited_s=0.0, now_s=0.0
+        NoReplicaReason.NO_MODEL, asked, records=[engine()], weights=None, waited_s=0.0, now_s=0.0
     )
     assert not waits(found, budget(), 0.1)
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -34,7 +34,7 @@
             assert status == 500 and "retry-after" not in headers
             assert b'"kind":"internal","outcome":"unknown"' in body
             monkeypatch.undo()
-            assert [record.in_flight for record in role.book.of_service("plain")] == [0]
+            assert [record.in_flight for record in role.registry.of_service("plain")] == [0]
             # The same connection serves the next request.
             status, _, body = await caller.ask("safe", "r2", b"x")
             assert (status, body) == (200, b"fine")
--- a/tests/test_lives_of_replicas.py
+++ b/tests/test_lives_of_replicas.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from returns.result import Success
 
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.model.instances import Beat, HeldModel, Instance, InstanceState, life_of
 from crowsill.state.commands import OfferModels, RecordBeat, RemoveInstance
 from crowsill.state.directory import Directory
@@ -101,18 +101,18 @@
 @settings(max_examples=300)
 @given(st.lists(STEPS, max_size=40), st.sets(st.integers(0, 39), max_size=3))
 def test_no_replica_steps_back_and_gateways_agree(steps, restarts):
-    machine, book = StateMachine(), ReplicaBook()
+    machine, registry = StateMachine(), ReplicaRegistry()
     newest, removed = {}, set()
     for number, step in enumerate(steps):
         if number in restarts:
             # A snapshot at another member, and a gateway that starts over.
             restored = StateMachine()
             restored.restore(machine.snapshot())
-            machine, book = restored, ReplicaBook()
-            book.adopt(machine.directory.whole(), True, 0.0)
+            machine, registry = restored, ReplicaRegistry()
+            registry.adopt(machine.directory.whole(), True, 0.0)
         changed = machine.apply(step).accepted
         if changed:
-            book.adopt(machine.directory.last_change, False, 0.0)
+            registry.adopt(machine.directory.last_change, False, 0.0)
         if isinstance(step, RemoveInstance):
             removed.add(step.instance_id)
         instances = machine.directory.instances
@@ -124,9 +124,9 @@
             assert item.born_ms >= newest.get(item.replica_name, 0), "a step back"
             newest[item.replica_name] = item.born_ms
         known = {item.instance_id: item for item in instances}
-        assert {record.instance.instance_id for record in book.of_service("s")} == set(known)
+        assert {record.instance.instance_id for record in registry.of_service("s")} == set(known)
         assert all(
-            known[item.instance.instance_id] == item.instance for item in book.of_service("s")
+            known[item.instance.instance_id] == item.instance for item in registry.of_service("s")
         )
 
 
--- a/tests/test_registered_fleet.py
+++ b/tests/test_registered_fleet.py
@@ -7,7 +7,7 @@
 
 from crowsill.consensus.membership import Member, Membership
 from crowsill.consensus.replacement import GroupHealth, SelfRepair, next_membership
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.model.instances import Beat, HeldModel, Instance, InstanceState
 from crowsill.placement.load_window import LoadWindow
 from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
@@ -64,12 +64,12 @@
 
 
 def test_a_book_takes_changes_in_order_only():
-    book, directory = ReplicaBook(), Directory()
+    registry, directory = ReplicaRegistry(), Directory()
     first = directory.record(beat("i-1"))
     second = directory.record(beat("i-1", 2, state="draining"))
-    assert book.adopt(second, False, 0.0) == ["i-1"]
-    assert book.adopt(first, False, 0.0) == []
-    assert not book.find("i-1").instance.accepts_work
+    assert registry.adopt(second, False, 0.0) == ["i-1"]
+    assert registry.adopt(first, False, 0.0) == []
+    assert not registry.find("i-1").instance.accepts_work
 
 
 commands = st.lists(
@@ -100,7 +100,7 @@
 
 @given(commands)
 def test_members_agree_and_books_follow(history):
-    machine, book = StateMachine(), ReplicaBook()
+    machine, registry = StateMachine(), ReplicaRegistry()
     gone, drained, newest = set(), set(), 0
     for command in history:
         before = machine.directory.version
@@ -110,7 +110,7 @@
         if isinstance(command, PublishRoutes):
             newest = max(newest, command.document.version)
         if machine.directory.version != before:
-            book.adopt(machine.directory.last_change, False, 0.0)
+            registry.adopt(machine.directory.last_change, False, 0.0)
         present = {item.instance_id for item in machine.directory.instances}
         assert not present & gone
         assert machine.routes.current.version == newest
@@ -118,7 +118,7 @@
             if item.state is InstanceState.DRAINING:
                 drained.add(item.instance_id)
             assert item.state is InstanceState.DRAINING or item.instance_id not in drained
-            assert book.find(item.instance_id).instance == item
+            assert registry.find(item.instance_id).instance == item
         addresses = [item.address for item in machine.directory.instances]
         assert len(set(addresses)) == len(addresses)
     restored = StateMachine()
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -298,7 +298,7 @@
             caller = await here.caller()
             assert (await caller.ask("once", "r1"))[0] == 200
             assert (await caller.ask("once", "r2"))[0] == 200
-            limit = here.role.book.find("i-1").availability.limit
+            limit = here.role.registry.find("i-1").availability.limit
             assert not limit.holds
             ended_s = limit.ended_s
             assert limit.binds(ended_s + 1.0)
@@ -311,7 +311,7 @@
     async def scenario():
         async with world(good) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0))
-            here.role.book.note_limits(
+            here.role.registry.note_limit_reports(
                 [LimitWord("i-1", 1.0, 0.2)], asyncio.get_running_loop().time()
             )
             assert (await (await here.caller()).ask("short"))[0] == 503
@@ -413,13 +413,13 @@
         async with world(limits("2")) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0), GRANTED)
             assert (await (await here.caller()).ask("once"))[0] == 200
-            availability = here.role.book.find("i-1").availability
+            availability = here.role.registry.find("i-1").availability
             waited = asyncio.create_task(
-                here.role.replica_grants.acquire(here.role.book.find("i-1"), is_urgent=False)
+                here.role.replica_grants.acquire(here.role.registry.find("i-1"), is_urgent=False)
             )
             assert await waited is None
             now_s = asyncio.get_running_loop().time()
-            assert availability.opens_s < now_s < availability.opens_for_s(is_urgent=False)
+            assert availability.urgent_opens_at_s < now_s < availability.opens_at_s(is_urgent=False)
             assert (await (await here.caller()).ask("short"))[0] == 200
             assert len(leader.asked) == 2
 
--- a/tests/test_replica_overview.py
+++ b/tests/test_replica_overview.py
@@ -15,7 +15,7 @@
 from crowsill.control.operations import Operations
 from crowsill.control.replica_grants import ReplicaGrants
 from crowsill.control.replica_overview import RegisteredReplicaLine
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.model.exclusions import MOST_TOLD
 from crowsill.model.fleet import FleetView
 from crowsill.model.instances import Beat, HeldModel, Instance
@@ -35,13 +35,13 @@
 
 def gateway_view():
     """What a gateway says that knows a resting, a leaving, an unreachable and a fine replica."""
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     listed = [instance(number) for number in range(1, 5)]
-    book.adopt(DirectoryChange(1, listed, []), True, 0.0)
-    book.find("i-1").availability.note_rest(2.5, now_s=0.0)
-    book.find("i-2").note_leaving(0.0)
-    book.find("i-3").availability.note_unreachable()
-    return book.excluded(0.5)
+    registry.adopt(DirectoryChange(1, listed, []), True, 0.0)
+    registry.find("i-1").availability.note_backoff(2.5, now_s=0.0)
+    registry.find("i-2").note_draining(0.0)
+    registry.find("i-3").availability.note_unreachable()
+    return registry.excluded(0.5)
 
 
 class Member:
@@ -115,11 +115,11 @@
 
 
 def test_a_heartbeat_names_few_replicas_the_worst_first():
-    book = ReplicaBook()
+    registry = ReplicaRegistry()
     listed = [instance(number) for number in range(1, 60)]
-    book.adopt(DirectoryChange(1, listed, []), True, 0.0)
+    registry.adopt(DirectoryChange(1, listed, []), True, 0.0)
     for number in range(1, 60):
-        book.find(f"i-{number}").availability.note_rest(5.0, now_s=0.0)
-    book.find("i-59").note_leaving(0.0)
-    told = book.excluded(0.0)
+        registry.find(f"i-{number}").availability.note_backoff(5.0, now_s=0.0)
+    registry.find("i-59").note_draining(0.0)
+    told = registry.excluded(0.0)
     assert len(told) == MOST_TOLD and told[0].instance_id == "i-59"
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -80,7 +80,7 @@
 def test_a_rest_is_read_from_seconds_and_dates_and_from_nothing_else(values, rest_s):
     headers = [(b"Retry-After", value) for value in values]
     word = read_signals(503, headers, HeaderNames(), wall_s=10.0)
-    assert word.rest_s == rest_s
+    assert word.backoff_s == rest_s
     unreadable = {b"", b"-3", b"nan", b"inf", b"1_0", b"3, 4", b"soon"}
     assert bool(word.unread) is bool(unreadable & set(values))
 
@@ -88,14 +88,14 @@
 @pytest.mark.parametrize(("value", "leaves"), [(b"1", True), (b"0", False), (b"yes", False)])
 def test_only_one_value_says_that_a_replica_leaves(value, leaves):
     word = read_signals(200, [(b"Crowsill-Server-Leaving", value)], HeaderNames(), 0.0)
-    assert word.is_leaving is leaves
+    assert word.is_draining is leaves
     assert bool(word.unread) is not leaves
 
 
 @given(st.integers(100, 599), st.lists(st.tuples(st.sampled_from([b"Retry-After"]), st.binary())))
 def test_no_bytes_end_in_an_error_or_a_rest_without_bound(status, headers):
     word = read_signals(status, headers, HeaderNames(), 1.7e9)
-    assert 0.0 <= word.rest_s <= LONGEST_REST_S
+    assert 0.0 <= word.backoff_s <= LONGEST_REST_S
     assert len(word.unread) < 100
 
 
@@ -156,7 +156,7 @@
             assert statuses == [200] * MOST_WAITING_TO_OPEN + [503] * 7
             told_s = [float(headers["retry-after"]) for status, headers in answers if status == 503]
             assert min(told_s) > 0.2 and len(set(told_s)) > 1
-            assert here.role.book.waiting_to_open.total() == 0
+            assert here.role.registry.waiting_to_open.total() == 0
 
     run(scenario())
 
@@ -222,7 +222,7 @@
             async def slowly(instance, timeout_s):
                 connection = await opened(instance, timeout_s)
                 if instance.instance_id == "i-1":
-                    here.role.book.find("i-1").availability.note_rest(
+                    here.role.registry.find("i-1").availability.note_backoff(
                         5.0, asyncio.get_running_loop().time()
                     )
                 return connection
@@ -232,7 +232,7 @@
                 assert (await (await here.caller()).ask("once", f"r{number}"))[0] == 200
             assert len(here._replicas[0].requests) == 0
             assert len(here._replicas[1].requests) == 6
-            assert here.role.book.find("i-1").in_flight == 0
+            assert here.role.registry.find("i-1").in_flight == 0
 
     run(scenario())
 
@@ -287,7 +287,7 @@
 def test_a_replica_leaves_from_the_head_of_a_stream_on():
     async def scenario():
         async with world(_leaving_stream, good) as here:
-            here.role.book.find("i-2").availability.note_rest(
+            here.role.registry.find("i-2").availability.note_backoff(
                 0.2, asyncio.get_running_loop().time()
             )
             streaming = await here.caller()
@@ -306,7 +306,7 @@
 
 
 def _listed(here):
-    found = [here.role.book.find(f"i-{number}").instance for number in (1, 2)]
+    found = [here.role.registry.find(f"i-{number}").instance for number in (1, 2)]
     return [msgspec.structs.replace(item, state=InstanceState.READY) for item in found]
 
 
@@ -321,7 +321,7 @@
 
     async def scenario():
         async with world(script, good) as here:
-            here.role.book.find("i-2").availability.note_rest(
+            here.role.registry.find("i-2").availability.note_backoff(
                 0.2, asyncio.get_running_loop().time()
             )
             await (await here.caller()).ask("safe", "r1")
@@ -330,8 +330,8 @@
                 assert (await (await here.caller()).ask("once", f"r{number}"))[0] == 200
             assert len(here._replicas[0].requests) == 1
             assert (
-                here.role.book.find("i-1").availability.exclusion(0.0).why
-                is ExclusionReason.LEAVING
+                here.role.registry.find("i-1").availability.exclusion(0.0).reason
+                is ExclusionReason.REPORTED_DRAINING
             )
 
     run(scenario())
@@ -347,7 +347,7 @@
             caller = await here.caller()
             caller.send("safe", "r1", method="HEAD")
             assert (await caller.head())[0] == 200
-            assert not here.role.book.find("i-1").instance.accepts_work
+            assert not here.role.registry.find("i-1").instance.accepts_work
 
     run(scenario())
 
@@ -367,7 +367,7 @@
         async with world(script, configuration=routes()) as here:
             for number in range(3):
                 await (await here.caller()).ask("short", f"r{number}")
-            assert here.role.book.find("i-1").availability.exclusion(0.0) is None
+            assert here.role.registry.find("i-1").availability.exclusion(0.0) is None
             assert lines.count("SIGNAL_UNREADABLE") == 1
             assert "REPLICA_RESTS" not in lines
 
--- a/tests/test_return_of_gateways.py
+++ b/tests/test_return_of_gateways.py
@@ -10,7 +10,7 @@
 from crowsill.clock import monotonic_s
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.follower import GatewayFollower, GatewayHooks
-from crowsill.gateway.replica_book import ReplicaBook
+from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.settings import Address
 from crowsill.transport.stream import LocalIdentity, load_cluster_key
 from tests.platform_site import PlatformSite, configuration
@@ -26,20 +26,20 @@
     """A gateway without callers: what it follows, and when that was proved to be current.
 
     Attributes:
-        book: Its replicas.
+        registry: Its replicas.
         current_s: Clock of the last proof.
     """
 
     def __init__(self, number, seeds, key):
         self.current_s = float("-inf")
-        self.book = ReplicaBook()
+        self.registry = ReplicaRegistry()
         guard = CrashGuard()
         hooks = GatewayHooks(
             lambda _document: None, lambda _ended: None, self._note_current, guard.adopt
         )
         local = LocalIdentity(f"hollow-{number}", f"hollow-{number}.1", "Hall-A", key)
         self.follower = GatewayFollower(
-            local, seeds, self.book, guard, hooks=hooks, random=Random(number)
+            local, seeds, self.registry, guard, hooks=hooks, random=Random(number)
         )
         self.task = asyncio.create_task(self.follower.run())
 
@@ -77,7 +77,7 @@
         for gateway in gateways
         if gateway.current_s >= since_s
         and gateway.follower.routes_version == 1
-        and len(gateway.book.of_service("till")) == REPLICAS
+        and len(gateway.registry.of_service("till")) == REPLICAS
     ]
 
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -3,9 +3,9 @@
 import pytest
 
 from crowsill.gateway.availability import Availability
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest, PromptPart
-from crowsill.gateway.selection import Choice, NoChoice, SelectionLimits, choose
+from crowsill.gateway.selection import Choice, NoReplicaReason, SelectionLimits, choose
 from crowsill.model.instances import HeldModel, Instance
 from crowsill.model.replica_use import ReplicaUse
 
@@ -47,7 +47,7 @@
 def test_a_slow_replica_is_passed_over_and_forgiven():
     slow, fine = record("slow"), record("fine", in_flight=2, pending_prompt_tokens=500)
     for _ in range(10):
-        slow.note_time(5.0, 0.1, 1.0)
+        slow.note_response_time(5.0, 0.1, 1.0)
     assert choose([slow, fine], request(), set(), LIMITS, 1.0).record is fine
     assert choose([slow, fine], request(), set(), LIMITS, 30.0).record is slow
 
@@ -55,23 +55,23 @@
 @pytest.mark.parametrize(
     ("records", "asked", "tried", "expected"),
     [
-        ([], request(), set(), NoChoice.NO_REPLICA),
+        ([], request(), set(), NoReplicaReason.NO_REPLICA),
         (
             [record("a", availability=Availability(is_unreachable=True))],
             request(),
             set(),
-            NoChoice.NO_REPLICA,
+            NoReplicaReason.NO_REPLICA,
         ),
-        ([record("a", ["n"])], request(), set(), NoChoice.NO_MODEL),
-        ([record("a")], request(adapter="a2"), set(), NoChoice.NO_MODEL),
+        ([record("a", ["n"])], request(), set(), NoReplicaReason.NO_MODEL),
+        ([record("a")], request(adapter="a2"), set(), NoReplicaReason.NO_MODEL),
         (
-            [record("a", availability=Availability(lacks={"m"}))],
+            [record("a", availability=Availability(missing_resources={"m"}))],
             request(),
             set(),
-            NoChoice.NO_MODEL,
+            NoReplicaReason.NO_MODEL,
         ),
-        ([record("a")], request(), {"a"}, NoChoice.ALL_TRIED),
-        ([record("a", in_flight=10)], request(), set(), NoChoice.ALL_FULL),
+        ([record("a")], request(), {"a"}, NoReplicaReason.ALL_TRIED),
+        ([record("a", in_flight=10)], request(), set(), NoReplicaReason.ALL_FULL),
     ],
 )
 def test_why_nothing_can_be_chosen(records, asked, tried, expected):
@@ -79,9 +79,9 @@
 
 
 def test_an_engine_is_not_given_more_than_it_serves_in_time():
-    limits = SelectionLimits("z", 1000, longest_ms=1000.0)
+    limits = SelectionLimits("z", 1000, max_expected_ms=1000.0)
     crowded = record("a", in_flight=20, pending_prompt_tokens=40_000)
-    assert choose([crowded], request(), set(), limits, 0.0) is NoChoice.ALL_FULL
+    assert choose([crowded], request(), set(), limits, 0.0) is NoReplicaReason.ALL_FULL
     assert isinstance(choose([record("b")], request(), set(), limits, 0.0), Choice)
 
 
@@ -90,17 +90,17 @@
     # date, each gateway saw only its own few requests there, and all went on sending. What the
     # others have is told by them, through the members, and not by the engine.
     pressed = record("a", in_flight=5, pending_prompt_tokens=12_000)
-    limits = SelectionLimits("z", 1000, longest_ms=1600.0)
+    limits = SelectionLimits("z", 1000, max_expected_ms=1600.0)
     assert isinstance(choose([pressed], request(), set(), limits, 0.0), Choice)
     pressed.note_peer_use(ReplicaUse(40, 96_000), 0.0)
-    assert choose([pressed], request(), set(), limits, 0.0) is NoChoice.ALL_FULL
+    assert choose([pressed], request(), set(), limits, 0.0) is NoReplicaReason.ALL_FULL
 
 
 def test_a_request_is_not_turned_away_while_any_replica_has_room():
     crowded = [record(str(number)) for number in range(9)]
     for item in crowded:
         item.note_peer_use(ReplicaUse(40, 96_000), 0.0)
-    limits = SelectionLimits("z", 1000, longest_ms=1600.0)
+    limits = SelectionLimits("z", 1000, max_expected_ms=1600.0)
     free = record("free", in_flight=9, pending_prompt_tokens=10_000)
     for _ in range(20):
         assert choose([*crowded, free], request(), set(), limits, 0.0).record is free
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -75,7 +75,7 @@
             relay.silence(to_target=True, to_caller=True)
             status, _, _ = await callers[0].ask("once", headers=["crowsill-deadline-ms: 1800"])
             assert status == 504
-            await until(lambda: not here.role.book.find("i-2").availability.is_unreachable)
+            await until(lambda: not here.role.registry.find("i-2").availability.is_unreachable)
             status, _, _ = await callers[1].ask("once", headers=["crowsill-deadline-ms: 1800"])
             assert status == 200
             relay.close()
@@ -156,7 +156,7 @@
             await until(lambda: here.role._exchanges)
             relay.silence(to_target, to_caller)
             await until(lambda: not here.role._exchanges)
-            record = here.role.book.find("i-1")
+            record = here.role.registry.find("i-1")
             await until(lambda: record.in_flight == 0)
             other = await here.caller()
             status, _, _ = await other.ask("unknown-route")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -38,7 +38,7 @@
 def test_a_request_held_across_a_suspension_gets_no_more_time_than_is_left(monkeypatch):
     async def scenario():
         async with world(good) as played:
-            known = [record.instance for record in played.role.book.of_service("plain")]
+            known = [record.instance for record in played.role.registry.of_service("plain")]
             played.adopt([])
             caller = await played.caller()
             caller.send("safe", "r1", headers=["crowsill-deadline-ms: 2800"])
@@ -58,7 +58,7 @@
 def test_a_request_whose_time_ended_during_a_suspension_is_sent_nowhere(monkeypatch):
     async def scenario():
         async with world(good) as played:
-            known = [record.instance for record in played.role.book.of_service("plain")]
+            known = [record.instance for record in played.role.registry.of_service("plain")]
             played.adopt([])
             caller = await played.caller()
             caller.send("safe", "r1", headers=["crowsill-deadline-ms: 1500"])
