--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -1,10 +1,9 @@
-"""Carries out jobs at registered engines: withhold, unload, load, tell gateways.
+"""Runs jobs on registered engines: withhold a resource, unload it, load another, offer that.
 
-What is to make way is first withheld from gateways by a committed command, so that requests stop
-before the order goes out. An order names the engine's instance and how many orders it has accepted,
-so a copy that arrives late changes nothing; one without an answer is sent again until the engine
-has spoken.
-"""
+A committed command first withholds from gateways the resource to be unloaded, so that requests for
+it stop before the order goes out. An order carries the engine's instance id and the number of
+orders that the engine has accepted, so a delayed duplicate changes nothing. An order without a
+response is sent again until the engine responds.
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +11,7 @@
 
 from crowsill.backends.engine_calls import EngineCalls, EngineOrder, EngineReport, OrderAnswer
 from crowsill.clock import monotonic_s
-from crowsill.control.engine_account import EngineAccount
+from crowsill.control.engine_state import EngineState
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.metrics import ORDERS
@@ -22,27 +21,27 @@
 from crowsill.state.machine import StateMachine
 from crowsill.transport.messages import Submitted
 
-WITHHOLD_S = 0.05
+WITHHOLD_DELAY_S = 0.05
 REPORT_LAG_S = 0.15
-ORDER_RETRY_S = 0.1
-ORDER_TRIES = 20
-LOAD_POLL_SHARE = 0.1
-SHORTEST_POLL_S = 0.02
-POLL_GROWTH = 1.5
-LONGEST_POLL_S = 0.5
+ORDER_RETRY_INTERVAL_S = 0.1
+MAX_ORDER_ATTEMPTS = 20
+LOAD_POLL_FRACTION = 0.1
+MIN_POLL_INTERVAL_S = 0.02
+POLL_INTERVAL_GROWTH = 1.5
+MAX_POLL_INTERVAL_S = 0.5
 LOAD_TIMEOUT_FACTOR = 6.0
-LOAD_TIMEOUT_EXTRA_S = 3.0
-REST_AFTER_FAILURE_S = 0.5
-UNLOAD_S = 0.1
+LOAD_TIMEOUT_MARGIN_S = 3.0
+BACKOFF_AFTER_FAILURE_S = 0.5
+EXPECTED_UNLOAD_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class EngineJobPorts:
-    """What jobs work with.
+    """Dependencies of engine jobs.
 
     Attributes:
         machine: The replicated state.
-        calls: Speaks to engines.
+        calls: Client for engines.
         submit: Commits commands.
         has_lease: Whether this member is provably the only leader at this moment.
         is_lost: Returns whether a replica counts as lost.
@@ -56,11 +55,11 @@
 
 
 class JobFailedError(Exception):
-    """A job could not be carried out; the engine's state is read anew."""
+    """A job failed; the engine's state must be read again."""
 
 
 class EngineJobs:
-    """Jobs of one leadership."""
+    """Runs the jobs of one leadership term."""
 
     def __init__(
         self, ports: EngineJobPorts, holder: str, term: int, on_done: Callable[[], None]
@@ -68,58 +67,58 @@
         """Make the runner of jobs.
 
         Args:
-            ports: What it works with.
-            holder: Name of this member in its orders.
-            term: Term of this leadership, the fence of its orders.
-            on_done: Called when a job has ended.
+            ports: Dependencies.
+            holder: Name of this member, sent with its orders.
+            term: Leadership term, the fence of its orders.
+            on_done: Called after each job.
         """
         self._ports = ports
         self._holder = holder
         self._term = term
         self._on_done = on_done
 
-    async def learn(self, instance: Instance, engine: EngineAccount) -> None:
-        """Read what an engine holds and how many orders it has accepted."""
+    async def read_state(self, instance: Instance, engine: EngineState) -> None:
+        """Read which models an engine holds and how many orders it has accepted."""
         report = await self._ports.calls.report(instance)
         if report is None or report.is_busy or report.coming:
-            engine.rests_until_s = monotonic_s() + REST_AFTER_FAILURE_S
+            engine.retry_at_s = monotonic_s() + BACKOFF_AFTER_FAILURE_S
             return
         engine.sequence = report.sequence
         engine.is_fenced = False
         engine.held = {held.name: set(held.adapters) for held in report.models}
-        await self._tell(instance, engine, ())
+        await self._offer_models(instance, engine, ())
 
-    async def carry_out(self, job: Job, instance: Instance, engine: EngineAccount) -> None:
-        """Do a job to its end; one that fails leaves the engine's state to be read anew."""
+    async def run_job(self, job: Job, instance: Instance, engine: EngineState) -> None:
+        """Run a job; after a failure the engine's state is read again."""
         try:
             if job.unload:
-                await self._tell(instance, engine, job.unload)
-                await asyncio.sleep(WITHHOLD_S)
+                await self._offer_models(instance, engine, job.unload)
+                await asyncio.sleep(WITHHOLD_DELAY_S)
                 for resource in job.unload:
-                    engine.leaving = "" if job.adapter else resource
+                    engine.unloading = "" if job.adapter else resource
                     await self._unload(instance, engine, resource)
             if job.model:
                 await self._load(instance, engine, job)
-                await self._tell(instance, engine, ())
+                await self._offer_models(instance, engine, ())
         except JobFailedError as error:
             engine.sequence = None
-            engine.rests_until_s = monotonic_s() + REST_AFTER_FAILURE_S
+            engine.retry_at_s = monotonic_s() + BACKOFF_AFTER_FAILURE_S
             log_event(Event.ORDER_SETTLED, replica=job.instance_id, succeeded=False, detail=error)
         finally:
-            engine.free_s = 0.0
+            engine.free_at_s = 0.0
             if not job.adapter:
                 engine.loading = ""
-                engine.leaving = ""
+                engine.unloading = ""
             self._on_done()
 
-    async def _tell(
+    async def _offer_models(
         self,
         instance: Instance,
-        engine: EngineAccount,
+        engine: EngineState,
         withheld: tuple[str, ...],
         coming: tuple[ComingModel, ...] = (),
     ) -> None:
-        """Commit what gateways may use at an engine, and what is on its way there."""
+        """Commit which models gateways may use at an engine, and which are being loaded there."""
         offered = [
             HeldModel(name, 1, sorted(item for item in names if f"{name}/{item}" not in withheld))
             for name, names in engine.held.items()
@@ -128,56 +127,56 @@
         command = OfferModels(instance.instance_id, offered, coming=list(coming))
         reply = await self._ports.submit(command)
         if not isinstance(reply, Submitted):
-            raise JobFailedError("the holdings could not be committed")
+            raise JobFailedError("the offer of models could not be committed")
 
-    async def _unload(self, instance: Instance, engine: EngineAccount, resource: str) -> None:
+    async def _unload(self, instance: Instance, engine: EngineState, resource: str) -> None:
         model, _, adapter = resource.partition("/")
         started_s = monotonic_s()
-        was_so = await self._order(instance, engine, OrderKind.UNLOAD, model, adapter)
+        was_done_already = await self._send_order(instance, engine, OrderKind.UNLOAD, model, adapter)
         if not adapter:
-            await self._wait_for(instance, engine, model, present=False, expected_s=UNLOAD_S)
-        elif not was_so:
-            # Requests use it: until they end every other order is refused.
-            await self._until_free(instance)
+            await self._wait_for_model(instance, engine, model, present=False, expected_s=EXPECTED_UNLOAD_S)
+        elif not was_done_already:
+            # Requests still use the adapter. Until they finish, the engine rejects other orders.
+            await self._wait_until_idle(instance)
         if adapter:
             engine.held.get(model, set()).discard(adapter)
         else:
             engine.held.pop(model, None)
         self._log_settled(instance, OrderKind.UNLOAD, resource, started_s)
 
-    async def _load(self, instance: Instance, engine: EngineAccount, job: Job) -> None:
+    async def _load(self, instance: Instance, engine: EngineState, job: Job) -> None:
         started_s = monotonic_s()
-        resource = resource_of(job.model, job.adapter)
-        await self._order(instance, engine, OrderKind.LOAD, job.model, job.adapter)
+        resource = resource_name(job.model, job.adapter)
+        await self._send_order(instance, engine, OrderKind.LOAD, job.model, job.adapter)
         if job.adapter:
             await self._wait_for_adapter(instance, engine, job)
             engine.held.setdefault(job.model, set()).add(job.adapter)
         else:
-            # Gateways that know when a model will be there keep only those requests waiting that
-            # it can still serve.
-            await self._tell(instance, engine, (), (ComingModel(job.model, job.load_s),))
-            await self._wait_for(instance, engine, job.model, True, job.load_s)
+            # Gateways that know when the model will be loaded keep only those requests waiting
+            # whose deadline allows it.
+            await self._offer_models(instance, engine, (), (ComingModel(job.model, job.load_s),))
+            await self._wait_for_model(instance, engine, job.model, True, job.load_s)
             engine.held.setdefault(job.model, set())
-        engine.loaded_s[resource] = monotonic_s()
+        engine.loaded_at_s[resource] = monotonic_s()
         self._log_settled(instance, OrderKind.LOAD, resource, started_s)
 
-    async def _order(
-        self, instance: Instance, engine: EngineAccount, kind: OrderKind, model: str, adapter: str
+    async def _send_order(
+        self, instance: Instance, engine: EngineState, kind: OrderKind, model: str, adapter: str
     ) -> bool:
-        """Send an order until the engine has spoken; return whether it was so already."""
+        """Send an order until the engine responds; return whether its effect was already there."""
         async with engine.lock:
-            return await self._order_alone(instance, engine, kind, model, adapter)
+            return await self._send_order_locked(instance, engine, kind, model, adapter)
 
-    async def _order_alone(
-        self, instance: Instance, engine: EngineAccount, kind: OrderKind, model: str, adapter: str
+    async def _send_order_locked(
+        self, instance: Instance, engine: EngineState, kind: OrderKind, model: str, adapter: str
     ) -> bool:
-        """Send an order while no other one is under way to the engine."""
+        """Send an order; the caller holds the engine's lock."""
         is_unanswered = False
-        for _ in range(ORDER_TRIES):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             if engine.sequence is None or not self._ports.has_lease():
-                raise JobFailedError("no lease")
-            # An engine that has started again under its name would carry out what was meant for the
-            # life before.
+                raise JobFailedError("this member has no lease or no known state of the engine")
+            # An engine that restarted under its name would execute an order meant for its former
+            # incarnation.
             is_known = self._ports.machine.directory.find_reported(instance.instance_id) is not None
             if not is_known or self._ports.is_lost(instance.instance_id):
                 raise JobFailedError("the engine is gone")
@@ -190,32 +189,32 @@
                 return False
             if answer is OrderAnswer.ALREADY_SO:
                 if kind is OrderKind.UNLOAD and not adapter and not is_unanswered:
-                    raise JobFailedError(f"{model}: it was not there, so the account is wrong")
-                # An adapter that nobody uses is unloaded at once, and that is counted.
+                    raise JobFailedError(f"{model}: not loaded, so the recorded state is wrong")
+                # The engine unloads an unused adapter at once and counts the order.
                 if kind is OrderKind.UNLOAD and adapter:
                     engine.sequence += 1
                 return True
             if answer is OrderAnswer.OTHER_INSTANCE and not adapter:
-                # Whoever has the address now is not this instance, so it has ended.
+                # Another instance has the address, so this instance has stopped.
                 await self._ports.submit(RemoveInstance(instance.instance_id))
-                raise JobFailedError("the engine has ended: another instance has its address")
+                raise JobFailedError("the engine has stopped: another instance has its address")
             if answer is not OrderAnswer.UNKNOWN and answer is not OrderAnswer.NOT_NOW:
                 raise JobFailedError(f"{kind} {model} {adapter}: {answer}")
             is_unanswered = is_unanswered or answer is OrderAnswer.UNKNOWN
-            await asyncio.sleep(ORDER_RETRY_S)
-            if answer is OrderAnswer.NOT_NOW and await self._was_accepted(
+            await asyncio.sleep(ORDER_RETRY_INTERVAL_S)
+            if answer is OrderAnswer.NOT_NOW and await self._was_accepted_earlier(
                 instance, engine, order, is_unanswered
             ):
                 return False
-        raise JobFailedError(f"{kind} {model} {adapter}: no answer")
+        raise JobFailedError(f"{kind} {model} {adapter}: no response")
 
-    async def _was_accepted(
-        self, instance: Instance, engine: EngineAccount, order: EngineOrder, is_unanswered: bool
+    async def _was_accepted_earlier(
+        self, instance: Instance, engine: EngineState, order: EngineOrder, is_unanswered: bool
     ) -> bool:
-        """Whether an earlier copy of a refused order has been accepted, by the engine's report.
+        """Whether an earlier attempt of a rejected order was accepted, by the engine's report.
 
         Raises:
-            JobFailedError: Others' orders were accepted, so what it holds is not known any more.
+            JobFailedError: Orders of other senders were accepted, so the engine's state is unknown.
         """
         await asyncio.sleep(REPORT_LAG_S)
         report = await self._ports.calls.report(instance)
@@ -223,30 +222,30 @@
             return False
         if report.sequence == order.expected_sequence:
             if report.is_busy:
-                await self._until_free(instance)
+                await self._wait_until_idle(instance)
             return False
         if not is_unanswered or report.sequence != order.expected_sequence + 1:
             detail = f"{report.sequence} orders accepted, {order.expected_sequence} expected"
             raise JobFailedError(detail)
         if report.is_busy and not engine.is_fenced:
-            # It may be a former leader's order that is under way: the end of it will tell.
+            # The order in progress may be a former leader's; the report after it will decide.
             return False
-        if not report.is_busy and not _is_carried_out(order, report):
+        if not report.is_busy and not _is_order_done(order, report):
             raise JobFailedError("another order was accepted in place of this one")
         engine.sequence = report.sequence
         engine.is_fenced = True
         return True
 
-    async def _until_free(self, instance: Instance) -> None:
-        """Wait until no order is in progress at an engine, by its reports.
+    async def _wait_until_idle(self, instance: Instance) -> None:
+        """Wait until an engine reports that no order is in progress.
 
-        It refuses what is sent meanwhile.
+        The engine rejects orders sent meanwhile.
 
         Raises:
-            JobFailedError: It was busy for as long as an order would be repeated.
+            JobFailedError: The engine stayed busy for the time in which an order is repeated.
         """
-        for _ in range(ORDER_TRIES):
-            await asyncio.sleep(ORDER_RETRY_S + REPORT_LAG_S)
+        for _ in range(MAX_ORDER_ATTEMPTS):
+            await asyncio.sleep(ORDER_RETRY_INTERVAL_S + REPORT_LAG_S)
             report = await self._ports.calls.report(instance)
             if report is None or not report.is_busy or not self._ports.has_lease():
                 return
@@ -258,53 +257,53 @@
             Event.ORDER_ANSWERED,
             replica=instance.instance_id,
             kind=order.kind,
-            resource=resource_of(order.model, order.adapter),
+            resource=resource_name(order.model, order.adapter),
             expected=order.expected_sequence,
             fence=order.fence,
             answer=answer,
         )
 
-    async def _wait_for(
+    async def _wait_for_model(
         self,
         instance: Instance,
-        engine: EngineAccount,
+        engine: EngineState,
         model: str,
         present: bool,
         expected_s: float,
     ) -> None:
-        """Wait until a model is there, or is gone, by its heartbeat or its report."""
-        deadline_s = monotonic_s() + expected_s * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_EXTRA_S
-        poll_s = min(LONGEST_POLL_S, max(SHORTEST_POLL_S, expected_s * LOAD_POLL_SHARE))
+        """Wait until an engine's heartbeat or report shows that a model is present or absent."""
+        deadline_s = monotonic_s() + expected_s * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_MARGIN_S
+        poll_s = min(MAX_POLL_INTERVAL_S, max(MIN_POLL_INTERVAL_S, expected_s * LOAD_POLL_FRACTION))
         next_report_s = monotonic_s() + expected_s + REPORT_LAG_S
         while monotonic_s() < deadline_s:
-            await asyncio.sleep(SHORTEST_POLL_S)
-            told = self._ports.machine.directory.find_reported(instance.instance_id)
-            if told is None or self._ports.is_lost(instance.instance_id):
+            await asyncio.sleep(MIN_POLL_INTERVAL_S)
+            reported = self._ports.machine.directory.find_reported(instance.instance_id)
+            if reported is None or self._ports.is_lost(instance.instance_id):
                 raise JobFailedError("the engine is gone")
-            if told.holds(model) is present:
+            if reported.holds(model) is present:
                 return
             if monotonic_s() < next_report_s:
                 continue
             next_report_s = monotonic_s() + poll_s
-            # Reports are paid for, and an unload may wait seconds for requests that run.
-            poll_s = min(LONGEST_POLL_S, poll_s * POLL_GROWTH)
+            # Each report costs a call, and an unload may wait seconds for running requests.
+            poll_s = min(MAX_POLL_INTERVAL_S, poll_s * POLL_INTERVAL_GROWTH)
             report = await self._ports.calls.report(instance)
             if report is None or report.is_busy:
                 continue
             if (model in {item.name for item in report.models}) is present:
                 return
-        raise JobFailedError(f"{model}: not settled in time")
+        raise JobFailedError(f"{model}: the order did not take effect in time")
 
-    async def _wait_for_adapter(self, instance: Instance, engine: EngineAccount, job: Job) -> None:
-        """Ask by the same order until the engine says that the adapter is there."""
-        deadline_s = monotonic_s() + LOAD_TIMEOUT_EXTRA_S
+    async def _wait_for_adapter(self, instance: Instance, engine: EngineState, job: Job) -> None:
+        """Repeat the order until the engine responds that the adapter is loaded."""
+        deadline_s = monotonic_s() + LOAD_TIMEOUT_MARGIN_S
         pause_s = job.load_s
         while monotonic_s() < deadline_s:
             await asyncio.sleep(pause_s)
-            if await self._order(instance, engine, OrderKind.LOAD, job.model, job.adapter):
+            if await self._send_order(instance, engine, OrderKind.LOAD, job.model, job.adapter):
                 return
-            pause_s = min(LONGEST_POLL_S, pause_s * 1.5)
-        raise JobFailedError(f"{job.model}/{job.adapter}: did not come in time")
+            pause_s = min(MAX_POLL_INTERVAL_S, pause_s * 1.5)
+        raise JobFailedError(f"{job.model}/{job.adapter}: not loaded in time")
 
     def _log_settled(
         self, instance: Instance, kind: OrderKind, resource: str, started_s: float
@@ -319,20 +318,20 @@
         )
 
 
-def _is_carried_out(order: EngineOrder, report: EngineReport) -> bool:
-    """Whether an engine that is not busy reports what an order asked for."""
+def _is_order_done(order: EngineOrder, report: EngineReport) -> bool:
+    """Whether the report of an idle engine shows the effect of an order."""
     held = {item.name: item.adapters for item in report.models}
     present = order.model in held
     if order.adapter:
-        resource = resource_of(order.model, order.adapter)
+        resource = resource_name(order.model, order.adapter)
         present = present and (order.adapter in held[order.model] or resource in report.coming)
     return present is (order.kind is OrderKind.LOAD)
 
 
-def resource_of(model: str, adapter: str) -> str:
-    """Return the name of a model or of an adapter beside it.
+def resource_name(model: str, adapter: str) -> str:
+    """Return the resource name of a model or of one of its adapters.
 
-    >>> resource_of("m", ""), resource_of("m", "a1")
+    >>> resource_name("m", ""), resource_name("m", "a1")
     ('m', 'm/a1')
     """
     return f"{model}/{adapter}" if adapter else model
--- a/src/crowsill/control/placers.py
+++ b/src/crowsill/control/placers.py
@@ -8,7 +8,7 @@
 from crowsill.clock import monotonic_s
 from crowsill.control.driver import ConsensusDriver
 from crowsill.control.engine_jobs import EngineJobPorts
-from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, StoreLimits
+from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, WeightStoreLimits
 from crowsill.control.placement_controller import PlacementController, PlacementPorts
 from crowsill.control.service import MemberService
 from crowsill.model.fleet import FleetView
@@ -52,13 +52,13 @@
         routes=member.routes,
         collect_demand=service.reports.demand.collect,
         collect_urgent=service.reports.urgent.collect,
-        collect_pressed=service.reports.pressed.collect,
+        collect_overloaded=service.reports.pressed.collect,
         heartbeat_s=control.replica_heartbeat_s,
         limit_of=service.reports.replica_grants.limit_of,
     )
     return ModelPlacer(
         ports,
-        StoreLimits(control.store_window_s, control.store_burst),
+        WeightStoreLimits(control.store_window_s, control.store_burst),
         member.node,
         driver.node.term,
         0.0 if control.replicas_check_fences else control.order_lease_s,
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -309,7 +309,7 @@
     def _lead_registered(self, member: LeadingMember, calls: EngineCalls) -> None:
         """Place models on engines that registered themselves."""
         placer = registered_placer(member, calls)
-        member.service.on_wanted = placer.want
+        member.service.on_wanted = placer.note_waiting
         self._leading.append(asyncio.create_task(placer.run()))
 
     def _current_routes(self) -> RouteConfiguration | None:
--- a/tests/test_busy_engines.py
+++ b/tests/test_busy_engines.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from crowsill.backends.engine_calls import EngineReport, OrderAnswer
-from crowsill.control.engine_account import EngineAccount
+from crowsill.control.engine_state import EngineState
 from crowsill.control.engine_jobs import EngineJobPorts, EngineJobs
 from crowsill.model.instances import Beat, HeldModel, Instance
 from crowsill.placement.copy_views import Job, JobReason
@@ -67,9 +67,9 @@
         return Submitted(None)
 
     async def body():
-        account = EngineAccount(sequence=0, held={"m": {"a1"}})
+        account = EngineState(sequence=0, held={"m": {"a1"}})
         async with asyncio.timeout(5.0):
-            await jobs.carry_out(EXCHANGE, ENGINE, account)
+            await jobs.run_job(EXCHANGE, ENGINE, account)
         assert account.held == {"m": {"a2"}} and engines.held == {"a2"}
 
     machine = StateMachine()
--- a/tests/test_model_placer.py
+++ b/tests/test_model_placer.py
@@ -5,7 +5,7 @@
 
 from crowsill.backends.engine_calls import EngineReport, OrderAnswer
 from crowsill.control.engine_jobs import EngineJobPorts
-from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, StoreLimits
+from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, WeightStoreLimits
 from crowsill.model.instances import Beat, HeldModel, Instance
 from crowsill.model.routes import (
     CallerLimits,
@@ -61,11 +61,11 @@
                 routes=lambda: self.routes,
                 collect_demand=self.collect,
                 collect_urgent=self.collect,
-                collect_pressed=dict,
+                collect_overloaded=dict,
                 heartbeat_s=heartbeat_s,
                 limit_of=self.limits.get,
             ),
-            StoreLimits(),
+            WeightStoreLimits(),
             "n",
             1,
             0.0,
@@ -113,7 +113,7 @@
     async def script(world):
         world.register("i-old", 1, "m0", on_disk=["m1"])
         world.demand = {"s|m1": 20}
-        world.placer.want({"s|m1": 1})
+        world.placer.note_waiting({"s|m1": 1})
         await world.until(lambda: world.machine.directory.find("i-old") is None)
 
     world = World(ScriptedEngines(OrderAnswer.OTHER_INSTANCE))
@@ -162,7 +162,7 @@
     async def script(world):
         world.register("i-1", 1, "m0", "m1", on_disk=["m3"])
         world.demand = {"s|m0": 1, "s|m3": 20}
-        world.placer.want({"s|m3": 1})
+        world.placer.note_waiting({"s|m3": 1})
         await world.until(lambda: any(expected == 2 for expected, _ in world.engines.orders))
 
     world = World(LateOrders(OrderAnswer.ACCEPTED))
@@ -222,7 +222,7 @@
     async def script(world):
         world.register("i-1", 1, "m0", "m1", on_disk=["m3"])
         world.demand = {"s|m0": 1, "s|m3": 20}
-        world.placer.want({"s|m3": 1})
+        world.placer.note_waiting({"s|m3": 1})
         await world.until(lambda: "m3" in world.engines.held)
         await asyncio.sleep(0.3)
 
@@ -242,9 +242,9 @@
     async def script(world):
         world.register("i-1", 1, "m0")
         world.demand = {"s|m0": 20, "s|m0/a1": 20}
-        world.placer.want({"s|m0/a1": 1})
+        world.placer.note_waiting({"s|m0/a1": 1})
         await world.until(lambda: world.placer._engines and account(world).adapter_job is not None)
-        assert account(world).is_busy and account(world).free_s > 0.0
+        assert account(world).is_busy and account(world).free_at_s > 0.0
 
     def account(world):
         return world.placer._engines["i-1"]
@@ -286,7 +286,7 @@
         world.register("i-1", 1, on_disk=["m0"])
         world.register("i-2", 2)
         world.demand = {"s|m0": 20}
-        world.placer.want({"s|m0": 1})
+        world.placer.note_waiting({"s|m0": 1})
         await world.until(lambda: world.engines.orders)
 
     world = World(ScriptedEngines(OrderAnswer.ACCEPTED))
