--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -4,6 +4,7 @@
 it stop before the order goes out. An order carries the engine's instance id and the number of
 orders that the engine has accepted, so a delayed duplicate changes nothing. An order without a
 response is sent again until the engine responds.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -132,9 +133,13 @@
     async def _unload(self, instance: Instance, engine: EngineState, resource: str) -> None:
         model, _, adapter = resource.partition("/")
         started_s = monotonic_s()
-        was_done_already = await self._send_order(instance, engine, OrderKind.UNLOAD, model, adapter)
+        was_done_already = await self._send_order(
+            instance, engine, OrderKind.UNLOAD, model, adapter
+        )
         if not adapter:
-            await self._wait_for_model(instance, engine, model, present=False, expected_s=EXPECTED_UNLOAD_S)
+            await self._wait_for_model(
+                instance, engine, model, present=False, expected_s=EXPECTED_UNLOAD_S
+            )
         elif not was_done_already:
             # Requests still use the adapter. Until they finish, the engine rejects other orders.
             await self._wait_until_idle(instance)
--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from crowsill.clock import monotonic_s
-from crowsill.control.engine_state import EngineState, to_engine_view
 from crowsill.control.engine_jobs import EngineJobPorts, EngineJobs, resource_name
+from crowsill.control.engine_state import EngineState, to_engine_view
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.model.instances import Instance
@@ -180,7 +180,7 @@
             self._missing_requests[resource] = self._missing_requests.get(resource, 0.0) + count
 
     async def _record_missing(self) -> None:
-        """Record the requests for missing models, so that the next leader can continue from them."""
+        """Record the requests for missing models for the next leader."""
         while True:
             await asyncio.sleep(RECORD_MISSING_INTERVAL_S)
             missing = most_lacked(self._missing_requests)
--- a/tests/test_busy_engines.py
+++ b/tests/test_busy_engines.py
@@ -9,8 +9,8 @@
 import asyncio
 
 from crowsill.backends.engine_calls import EngineReport, OrderAnswer
-from crowsill.control.engine_state import EngineState
 from crowsill.control.engine_jobs import EngineJobPorts, EngineJobs
+from crowsill.control.engine_state import EngineState
 from crowsill.model.instances import Beat, HeldModel, Instance
 from crowsill.placement.copy_views import Job, JobReason
 from crowsill.state.commands import OrderKind, RecordBeat
