--- a/src/crowsill/gateway/admission.py
+++ b/src/crowsill/gateway/admission.py
@@ -5,9 +5,9 @@
 from crowsill.clock import monotonic_s
 from crowsill.errors import ErrorKind
 from crowsill.gateway.context import ExchangeContext
-from crowsill.gateway.dialect import all_values
+from crowsill.gateway.headers import all_values
 from crowsill.gateway.quota import Charge
-from crowsill.gateway.refusal import Refusal
+from crowsill.gateway.rejection import Refusal
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.routes import Route
 from crowsill.model.tenants import Tenant
--- a/src/crowsill/gateway/attempt.py
+++ b/src/crowsill/gateway/attempt.py
@@ -6,11 +6,11 @@
 from enum import StrEnum
 
 from crowsill.clock import wall_s
-from crowsill.gateway.answer import LAST_CHUNK, encode_chunk, encode_head
 from crowsill.gateway.caller_protocol import CallerConnection
-from crowsill.gateway.dialect import HeaderNames, Headers, end_to_end_headers, find_header
+from crowsill.gateway.headers import HeaderNames, Headers, end_to_end_headers, find_header
 from crowsill.gateway.replica_connection import Break, ReplicaConnection
 from crowsill.gateway.replica_signals import ReplicaSignals, read_signals
+from crowsill.gateway.response import LAST_CHUNK, encode_chunk, encode_head
 
 BUFFERED_BYTES = 256 * 1024
 NO_CONTENT_STATUSES = frozenset((204, 304))
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -8,7 +8,7 @@
 from crowsill.clock import monotonic_s, wall_s
 from crowsill.events import Event
 from crowsill.gateway.availability import Availability
-from crowsill.gateway.dialect import HeaderNames, Headers
+from crowsill.gateway.headers import HeaderNames, Headers
 from crowsill.gateway.pool import ConnectError, ConnectionPool
 from crowsill.gateway.replica_connection import Break
 from crowsill.gateway.replica_signals import read_signals
--- a/src/crowsill/gateway/caller_protocol.py
+++ b/src/crowsill/gateway/caller_protocol.py
@@ -10,9 +10,9 @@
 import httptools
 
 from crowsill.errors import ErrorKind, Problem
-from crowsill.gateway.answer import encode_problem
-from crowsill.gateway.dialect import HeaderNames, Headers, find_header
+from crowsill.gateway.headers import HeaderNames, Headers, find_header
 from crowsill.gateway.request import CallerRequest, interpret
+from crowsill.gateway.response import encode_problem
 from crowsill.model.routes import CallerLimits
 
 
--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -6,8 +6,8 @@
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.crash_watch import CrashWatch
 from crowsill.gateway.demand import DemandReporter
-from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.fingerprint import Fingerprints
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.pool import ConnectionPool
 from crowsill.gateway.quota import GrantClient
 from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -16,7 +16,7 @@
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.outcome import Outcome
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.refusal import Refusal
+from crowsill.gateway.rejection import Refusal
 from crowsill.gateway.repeat_guard import RepeatGuard
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
@@ -27,7 +27,7 @@
     SelectionLimits,
     choose,
 )
-from crowsill.gateway.sending import Sender
+from crowsill.gateway.sender import Sender
 from crowsill.gateway.waiting import STOPPING_RETRY_S, WaitingRequest
 from crowsill.model.routes import Route, RouteKind
 
--- a/src/crowsill/gateway/forwarded.py
+++ b/src/crowsill/gateway/forwarding.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from crowsill.gateway.dialect import HeaderNames, end_to_end_headers
+from crowsill.gateway.headers import HeaderNames, end_to_end_headers
 from crowsill.gateway.request import CallerRequest
 
 MOST_PATIENT_RANK = 9
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -4,13 +4,13 @@
 """
 
 from crowsill.errors import ErrorKind, Problem
-from crowsill.gateway.answer import encode_problem
 from crowsill.gateway.attempt import Attempt, AttemptEnd, Result, encode_whole_answer
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.request import CallerRequest
+from crowsill.gateway.response import encode_problem
 from crowsill.gateway.selection import NoChoice
 from crowsill.gateway.waiting import RefusedRequest
 
--- a/src/crowsill/gateway/pool.py
+++ b/src/crowsill/gateway/pool.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.replica_connection import ReplicaConnection
 from crowsill.model.instances import Instance
 from crowsill.transport.leader_client import parse_address
--- a/src/crowsill/gateway/quota.py
+++ b/src/crowsill/gateway/quota.py
@@ -11,7 +11,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.errors import ErrorKind
-from crowsill.gateway.refusal import Refusal
+from crowsill.gateway.rejection import Refusal
 from crowsill.metrics import note_tenant_units
 from crowsill.model.tenants import Tenant
 from crowsill.transport.messages import Body, GrantReply, GrantRequest
--- a/src/crowsill/gateway/ready_server.py
+++ b/src/crowsill/gateway/ready_server.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from crowsill.gateway.answer import encode_head
+from crowsill.gateway.response import encode_head
 from crowsill.metrics import render_metrics
 from crowsill.settings import Address
 
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -6,7 +6,7 @@
 from crowsill.gateway.attempt import AttemptEnd, Result
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.refusal import Refusal
+from crowsill.gateway.rejection import Refusal
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.instances import Instance
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from crowsill.gateway.dialect import HeaderNames, Headers, find_header, read_number
+from crowsill.gateway.headers import HeaderNames, Headers, find_header, read_number
 
 # A replica that tells no time keeps idle connections open.
 DEFAULT_IDLE_S = 60.0
--- a/src/crowsill/gateway/replica_signals.py
+++ b/src/crowsill/gateway/replica_signals.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from crowsill.gateway.dialect import HeaderNames, Headers, all_values, find_header, read_number
+from crowsill.gateway.headers import HeaderNames, Headers, all_values, find_header, read_number
 from crowsill.routing.named_limit import read_limit_per_s
 from crowsill.routing.retry_after import REST_STATUSES, longest_delay_s
 
--- a/src/crowsill/gateway/request.py
+++ b/src/crowsill/gateway/request.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from crowsill.gateway.dialect import HeaderNames, Headers, find_header, read_number
+from crowsill.gateway.headers import HeaderNames, Headers, find_header, read_number
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crowsill/gateway/answer.py
+++ b/src/crowsill/gateway/response.py
@@ -3,7 +3,7 @@
 import http
 
 from crowsill.errors import Problem, error_body
-from crowsill.gateway.dialect import Headers
+from crowsill.gateway.headers import Headers
 
 _REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -13,11 +13,11 @@
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.crash_watch import CrashWatch
 from crowsill.gateway.demand import DemandReporter
-from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.exchange import Exchange
 from crowsill.gateway.fingerprint import Fingerprints
 from crowsill.gateway.follower import GatewayFollower, GatewayHooks
 from crowsill.gateway.gateway_count import GatewayCount
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.pool import ConnectionPool
 from crowsill.gateway.quota import GrantClient
 from crowsill.gateway.ready_server import ReadyServer
--- a/src/crowsill/gateway/sending.py
+++ b/src/crowsill/gateway/sender.py
@@ -8,7 +8,7 @@
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.forwarded import SendingTerms, encode_forwarded
+from crowsill.gateway.forwarding import SendingTerms, encode_forwarded
 from crowsill.gateway.pool import ConnectError
 from crowsill.gateway.progress import PendingPrompt, Progress, Trial
 from crowsill.gateway.repeat_guard import RepeatGuard
--- a/src/crowsill/platform_ports.py
+++ b/src/crowsill/platform_ports.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from crowsill.backends.engine_calls import EngineCalls
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.model.route_codec import JsonRouteCodec, RouteCodec
 
 if TYPE_CHECKING:
--- a/src/crowsill_lab/soak/caller.py
+++ b/src/crowsill_lab/soak/caller.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill_lab.soak.ledger import Ledger, SentRequest
 from crowsill_lab.soak.operator import HOST_NAME
 from crowsill_lab.soak.replica import answer_of
--- a/src/crowsill_lab/soak/culprit.py
+++ b/src/crowsill_lab/soak/culprit.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.model.suspects import CRASH_LIMIT, SAME_MOMENT_S
 from crowsill_lab.soak.ledger import CRASHING, Ledger
 from crowsill_lab.soak.operator import HOST_NAME
--- a/src/crowsill_lab/soak/replica.py
+++ b/src/crowsill_lab/soak/replica.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.model.instances import Beat, Instance, InstanceState, life_of
 from crowsill_lab.soak.control_calls import put
 from crowsill_lab.soak.ledger import CRASHING, Ledger
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from crowsill.clock import monotonic_s
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.role import GatewayRole
 from crowsill.gateway.routing_table import GatewayTable
 from crowsill.model.instances import HeldModel, Instance, InstanceState
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from crowsill.gateway.dialect import HeaderNames
-from crowsill.gateway.forwarded import SendingTerms, encode_forwarded
+from crowsill.gateway.forwarding import SendingTerms, encode_forwarded
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.request import CallerRequest
 from tests.platform_site import ROOT
 
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from crowsill.control.replica_limits import ReplicaLimits
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.replica_grants import ReplicaGrants
 from crowsill.gateway.replica_signals import read_signals
 from crowsill.model.replica_limits import LimitWord
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from crowsill.gateway.availability import ExclusionReason
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.holding import MOST_WAITING_TO_OPEN
 from crowsill.gateway.replica_signals import read_signals
 from crowsill.model.instances import HeldModel, InstanceState
