--- a/src/crowsill/control/placement_controller.py
+++ b/src/crowsill/control/placement_controller.py
@@ -1,7 +1,7 @@
-"""Carries placement out: commits, sends and settles what the placement core decides.
+"""Executes placement decisions: commits, sends and settles the orders of the placement core.
 
-An order is committed with its fence before it is sent, so a new leader inherits every order that
-may still take effect. It is sent again until the engine has acknowledged it.
+An order is committed with its fence before it is sent, so a new leader knows every order that may
+still take effect. The order is sent again until the engine has acknowledged it.
 """
 
 import asyncio
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementPorts:
-    """What the controller works with.
+    """Dependencies of the controller.
 
     Attributes:
         machine: The replicated state.
         fleet: The fleet view of this leader.
-        engines: Sends orders.
+        engines: Client for engines.
         submit: Commits commands.
         has_lease: Whether this member is provably the only leader at this moment.
-        collect_demand: Returns requests by resource since the last call.
+        collect_demand: Returns the number of requests by resource since the last call.
     """
 
     machine: StateMachine
@@ -48,20 +48,20 @@
 
 
 class PlacementController:
-    """Places models while this member leads; a new one is made for each leadership."""
+    """Places models during one leadership term."""
 
     def __init__(self, ports: PlacementPorts, limits: PlacementLimits, term: int) -> None:
         """Make a controller.
 
         Args:
-            ports: What it works with.
-            limits: Limits that the platform sets.
-            term: Term of this leadership, the fence of its orders.
+            ports: Dependencies.
+            limits: Limits set by the platform.
+            term: Leadership term, the fence of its orders.
         """
         self._ports = ports
         self._orders = ports.machine.orders
         self._core = PlacementCore(self._orders, ports.fleet, limits, term, monotonic_s())
-        self._sending: set[asyncio.Task[None]] = set()
+        self._send_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Place until cancelled."""
@@ -119,14 +119,14 @@
     def _send_due(self) -> None:
         now_s = monotonic_s()
         for order in self._core.due(now_s):
-            # Without a lease another leader may have settled this order already.
+            # Without a lease, another leader may already have settled this order.
             if not self._ports.has_lease():
                 return
             if self._core.sent(order, now_s):
                 log_event(Event.ORDER_RETRIED, order=order.order_id, replica=order.replica_id)
             task = asyncio.create_task(self._send(order))
-            self._sending.add(task)
-            task.add_done_callback(self._sending.discard)
+            self._send_tasks.add(task)
+            task.add_done_callback(self._send_tasks.discard)
 
     async def _send(self, order: Order) -> None:
         description = self._ports.fleet.replicas[order.replica_id].description
--- a/src/crowsill/control/placers.py
+++ b/src/crowsill/control/placers.py
@@ -1,4 +1,4 @@
-"""Makes what places models while a member leads, out of its settings and its other parts."""
+"""Wires the placers of a leading member from its settings and its other parts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,11 +22,11 @@
     """The parts of a member that leads.
 
     Attributes:
-        node: Its name, the holder of its orders.
+        node: Its name, sent with its orders as the holder.
         control: Its settings.
-        service: What it answers to other processes.
+        service: Handles requests of other processes.
         driver: Its consensus driver.
-        routes: The routes in force there.
+        routes: Returns the active routes.
     """
 
     node: str
@@ -36,8 +36,8 @@
     routes: Callable[[], RouteConfiguration | None]
 
 
-def registered_placer(member: LeadingMember, calls: EngineCalls) -> ModelPlacer:
-    """Return what places models on engines that registered themselves."""
+def make_registered_placer(member: LeadingMember, calls: EngineCalls) -> ModelPlacer:
+    """Return the placer for engines that register themselves."""
     control, service, driver = member.control, member.service, member.driver
     started_s = monotonic_s()
     engines = EngineJobPorts(
@@ -66,10 +66,10 @@
     )
 
 
-def polled_placer(
+def make_polled_placer(
     member: LeadingMember, engines: EnginePort, fleet: FleetView
 ) -> PlacementController:
-    """Return what places models on the polled back ends."""
+    """Return the placer for polled back ends."""
     control, driver = member.control, member.driver
     ports = PlacementPorts(
         machine=driver.machine,
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -25,7 +25,7 @@
 from crowsill.control.leader_link import LeaderLink
 from crowsill.control.members import MemberChanges
 from crowsill.control.operations import Operations
-from crowsill.control.placers import LeadingMember, polled_placer, registered_placer
+from crowsill.control.placers import LeadingMember, make_polled_placer, make_registered_placer
 from crowsill.control.publisher import ChangePublisher
 from crowsill.control.quarantine_expiry import expire_suspects
 from crowsill.control.quota_grants import QuotaGrants
@@ -308,7 +308,7 @@
 
     def _lead_registered(self, member: LeadingMember, calls: EngineCalls) -> None:
         """Place models on engines that registered themselves."""
-        placer = registered_placer(member, calls)
+        placer = make_registered_placer(member, calls)
         member.service.on_wanted = placer.note_waiting
         self._leading.append(asyncio.create_task(placer.run()))
 
@@ -324,7 +324,7 @@
     def _lead_fleet(self, member: LeadingMember, backends: "HttpControl") -> None:
         """Observe the polled back ends and place models on them."""
         observer = FleetObserver(backends, backends, self._fleet, self._subscribers.push_fleet)
-        placement = polled_placer(member, backends, self._fleet)
+        placement = make_polled_placer(member, backends, self._fleet)
         self._leading += [
             asyncio.create_task(observer.run(member.driver.node.term)),
             asyncio.create_task(placement.run()),
