--- a/src/crowsill/api/operators.py
+++ b/src/crowsill/api/operators.py
@@ -16,7 +16,7 @@
     request_id_of,
 )
 from crowsill.constants import MAX_BODY_BYTES
-from crowsill.control.operations import LiftRequest, Operations
+from crowsill.control.operations import LiftRequest, OperatorService
 from crowsill.errors import ErrorKind, Problem
 from crowsill.model.configuration import ConfigurationChange, ConfigurationContent
 from crowsill.tokens import bearer_digest
@@ -57,7 +57,7 @@
 
 
 class _Resource:
-    def __init__(self, operations: Operations) -> None:
+    def __init__(self, operations: OperatorService) -> None:
         self._operations = operations
 
 
@@ -197,7 +197,7 @@
         _answer(response, result.unwrap())
 
 
-def operator_application(operations: Operations, token_sha256: list[str]) -> Any:  # noqa: ANN401
+def operator_application(operations: OperatorService, token_sha256: list[str]) -> Any:  # noqa: ANN401
     """Return the ASGI application for operators.
 
     Args:
--- a/src/crowsill/control/abandonment.py
+++ b/src/crowsill/control/abandonment.py
@@ -15,7 +15,7 @@
 ABANDON_CHECK_S = 1.0
 
 
-async def abandon_vanished(
+async def abandon_lost_claims(
     service: MemberService, machine: StateMachine, driver: ConsensusDriver
 ) -> None:
     """Declare the open claims of entries unheard of for long to be of unknown outcome.
--- a/src/crowsill/control/announcer.py
+++ b/src/crowsill/control/announcer.py
@@ -151,7 +151,7 @@
         visit.pause_s = min(LONGEST_PAUSE_S, visit.pause_s * 2.0)
 
 
-def take_referral(contacts: GroupContacts, connection: Connection, told: GroupReferral) -> Pong:
+def accept_referral(contacts: GroupContacts, connection: Connection, told: GroupReferral) -> Pong:
     """Take in where the group is by the word of a process that says it leads."""
     if contacts.refer([parse_address(member) for member in told.members]):
         log_event(Event.GROUP_TOLD, teller=connection.peer.node, members=",".join(told.members))
--- a/src/crowsill/control/bootstrap.py
+++ b/src/crowsill/control/bootstrap.py
@@ -20,7 +20,7 @@
 REPLY_TIMEOUT_S = 2.0
 
 
-async def ask_if_blank(peer: PeerSettings | Address, local: LocalIdentity) -> MemberBlank | None:
+async def query_if_empty(peer: PeerSettings | Address, local: LocalIdentity) -> MemberBlank | None:
     """Ask a control member for its identity; None when it does not answer."""
     target = Address(peer.host, peer.port)
     reply = await ask_once(target, BlankCheck(), local, REPLY_TIMEOUT_S)
@@ -44,7 +44,7 @@
         for peer in others:
             if peer.name in identities:
                 continue
-            reply = await ask_if_blank(peer, local)
+            reply = await query_if_empty(peer, local)
             if reply is not None and not reply.is_blank:
                 return None
             if reply is not None:
@@ -76,7 +76,7 @@
         for seed in ordered:
             if seed in replies:
                 continue
-            reply = await ask_if_blank(seed, local)
+            reply = await query_if_empty(seed, local)
             if reply is None:
                 continue
             comes_first = ordered.index(seed) < ordered.index(own)
--- a/src/crowsill/control/crash_notes.py
+++ b/src/crowsill/control/crash_commands.py
@@ -4,10 +4,10 @@
 from crowsill.transport.replica_messages import ClearRequests, ReportCrash
 
 
-def note_of(question: ReportCrash | ClearRequests) -> CrashNote:
+def to_crash_command(question: ReportCrash | ClearRequests) -> CrashNote:
     """Return the command that has the group record what a gateway saw.
 
-    >>> note_of(ClearRequests([b"f"], [2.0]))
+    >>> to_crash_command(ClearRequests([b"f"], [2.0]))
     ClearSuspects(fingerprints=[b'f'], why='answered whole', at_s=0.0, whole_ago_s=[2.0])
     """
     if isinstance(question, ReportCrash):
--- a/src/crowsill/control/leaving_replicas.py
+++ b/src/crowsill/control/draining_replicas.py
@@ -15,7 +15,7 @@
 from crowsill.transport.messages import Body, SubmitCommand
 
 
-class LeavingReplicas:
+class DrainingReplicas:
     """Has the word of replicas that leave committed."""
 
     def __init__(
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -332,7 +332,7 @@
         self._wake.set()
         return index is not None
 
-    async def hand_over(self, timeout_s: float) -> None:
+    async def hand_over_leadership(self, timeout_s: float) -> None:
         """Give leadership to another member before a planned stop."""
         deadline_s = monotonic_s() + timeout_s
         self.node.transfer_leadership(monotonic_s())
--- a/src/crowsill/control/gateway_reports.py
+++ b/src/crowsill/control/gateway_reports.py
@@ -35,11 +35,13 @@
         self.pressed.add(heartbeat.pressed)
         self.replica_grants.note(heartbeat.limits)
 
-    def use_of_all(self, is_leader: bool, now_s: float) -> UseByReplica | None:
+    def total_use(self, is_leader: bool, now_s: float) -> UseByReplica | None:
         """Return what all gateways have at replicas, as far as this member knows it."""
         return self.use.sum(now_s) if is_leader else self.use.total(now_s)
 
-    def question(self, leader: object, fleet_position: tuple[int, int], now_s: float) -> Heartbeat:
+    def make_heartbeat(
+        self, leader: object, fleet_position: tuple[int, int], now_s: float
+    ) -> Heartbeat:
         """Return what a member that follows asks the leader, for all who follow it.
 
         Many questions go out in a second, and what the followers say of themselves is the most of
--- a/src/crowsill/control/joining.py
+++ b/src/crowsill/control/joining.py
@@ -20,7 +20,7 @@
 REPLY_TIMEOUT_S = 0.8
 
 
-class Joiner:
+class GroupJoiner:
     """Keeps one member attached to the group."""
 
     def __init__(
--- a/src/crowsill/control/members.py
+++ b/src/crowsill/control/members.py
@@ -12,7 +12,7 @@
     next_membership,
     risk,
 )
-from crowsill.control.bootstrap import ask_if_blank
+from crowsill.control.bootstrap import query_if_empty
 from crowsill.control.driver import ConsensusDriver
 from crowsill.settings import Address, PeerSettings
 from crowsill.transport.membership_messages import (
@@ -101,7 +101,7 @@
 
     async def _add(self, request: MembersRequest, replaces: str) -> str:
         peer = PeerSettings(request.name, request.host, request.port)
-        answer = await ask_if_blank(peer, self._local)
+        answer = await query_if_empty(peer, self._local)
         if answer is None:
             return f"no control member answers at {request.host}:{request.port}"
         if self._find(answer.identity) is not None:
--- a/src/crowsill/control/operations.py
+++ b/src/crowsill/control/operations.py
@@ -150,7 +150,7 @@
     faults: list[ConfigurationFault]
 
 
-class Operations:
+class OperatorService:
     """Operators' requests at one member."""
 
     def __init__(
@@ -187,7 +187,7 @@
     async def _ask_leader(self, request: SubmitCommand | MembersRequest) -> Body | None:
         driver, stream = self._service.driver, self._service.leader_stream
         if driver is not None and driver.is_leader:
-            return await self._service.answer_as_leader(request, driver)
+            return await self._service.handle_as_leader(request, driver)
         if stream is None:
             return None
         try:
@@ -261,7 +261,7 @@
             role="starting" if driver is None else driver.node.role,
             term=0 if driver is None else driver.node.term,
             revision=revision,
-            confirmed=self._service.currency() is not None,
+            confirmed=self._service.own_freshness() is not None,
             members=self._members(),
             entries=self._entries(revision),
             replicas=self._replicas(),
--- a/src/crowsill/control/placers.py
+++ b/src/crowsill/control/placers.py
@@ -45,7 +45,7 @@
         calls=calls,
         submit=driver.submit,
         has_lease=driver.has_lease,
-        is_lost=lambda instance_id: service.sight.is_lost(instance_id, started_s),
+        is_lost=lambda instance_id: service.liveness.is_lost(instance_id, started_s),
     )
     ports = ModelPlacerPorts(
         engines=engines,
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -16,7 +16,7 @@
 from crowsill.api.common import answer_problem, new_application, request_id_of
 from crowsill.api.server import HttpServer
 from crowsill.clock import monotonic_s
-from crowsill.control.announcer import take_referral
+from crowsill.control.announcer import accept_referral
 from crowsill.errors import ErrorKind, Problem
 from crowsill.events import Event
 from crowsill.logs import log_event
@@ -37,7 +37,7 @@
 REPLY_TIMEOUT_S = 0.8
 
 
-class LeaderPointer:
+class LeaderLocator:
     """Knows where the leader is.
 
     Attributes:
@@ -109,7 +109,7 @@
 class RedirectResource:
     """Every path: `307` to the leader, or `503` while none is known."""
 
-    def __init__(self, pointer: LeaderPointer, port: int) -> None:
+    def __init__(self, pointer: LeaderLocator, port: int) -> None:
         """Make the resource.
 
         Args:
@@ -132,7 +132,7 @@
         response.location = f"http://{leader.host}:{self._port}{request.relative_uri}"
 
 
-def redirect_application(pointer: LeaderPointer, port: int) -> Any:  # noqa: ANN401
+def redirect_application(pointer: LeaderLocator, port: int) -> Any:  # noqa: ANN401
     """Make the ASGI application; `port` is that of the same interface at every member."""
     application = new_application()
     application.add_sink(RedirectResource(pointer, port), "/")
@@ -152,7 +152,7 @@
         """
         self._control = control
         contacts = GroupContacts(control.seeds, random)
-        self._pointer = LeaderPointer(local, control.listen, contacts)
+        self._pointer = LeaderLocator(local, control.listen, contacts)
         self._inner = ConnectionServer(
             local, self._on_request, lambda *_push: None, lambda _connection: None
         )
@@ -182,7 +182,7 @@
             return MemberBlank(identity="", is_blank=True, may_vote=False)
         pointer = self._pointer
         if isinstance(body, GroupReferral):
-            taken = take_referral(pointer.contacts, connection, body)
+            taken = accept_referral(pointer.contacts, connection, body)
             pointer.told()
             return taken
         leader = None if pointer.leader is None else format_address(pointer.leader)
--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -68,7 +68,7 @@
         while monotonic_s() < deadline_s:
             try:
                 async with asyncio.timeout(deadline_s - monotonic_s()):
-                    reply = await self._service.submit_anywhere(SubmitCommand(command))
+                    reply = await self._service.submit_or_forward(SubmitCommand(command))
             except (ConnectionLostError, TimeoutError):
                 reply = None
             if isinstance(reply, Submitted):
@@ -88,11 +88,11 @@
         known = directory.find_reported(instance_id)
         # Taken in, it would end whoever has its address, and serve nobody. A replica whose service
         # the routes no longer name may still say that it leaves.
-        if known is None and not self.is_named(beat.instance.service):
+        if known is None and not self.is_routed(beat.instance.service):
             return Failure(Problem(ErrorKind.UNKNOWN_SERVICE, "no route names its service"))
         if known is not None and known.service != beat.instance.service:
             return Failure(Problem(ErrorKind.UNKNOWN_SERVICE, "it belongs to another service"))
-        self._service.sight.note_seen([instance_id])
+        self._service.liveness.note_heartbeats([instance_id])
         late = beat.sequence < self._newest_sequence.get(instance_id, -1)
         if not late:
             self._newest_sequence[instance_id] = beat.sequence
@@ -112,10 +112,10 @@
             if not await self._commit(RemoveInstance(instance_id), BEAT_TIMEOUT_S):
                 return Failure(Problem(ErrorKind.NO_LEADER, "no majority recorded the end"))
             self._newest_sequence.pop(instance_id, None)
-            self._service.sight.forget(instance_id)
+            self._service.liveness.forget(instance_id)
         return Success(None)
 
-    def is_named(self, service: str) -> bool:
+    def is_routed(self, service: str) -> bool:
         """Whether the routes in force name a service; any may be named while there are none."""
         document = self._machine.routes.current
         if document.version == 0:
@@ -146,10 +146,10 @@
     async def current(self) -> Result[PublishedRoutes, Problem]:
         """Return the routes in force, proved to be the newest acknowledged ones."""
         deadline_s = monotonic_s() + READ_TIMEOUT_S
-        currency = await self._service.confirmed_currency()
-        if currency is None:
+        freshness = await self._service.confirmed_freshness()
+        if freshness is None:
             return Failure(Problem(ErrorKind.NO_LEADER, "no leader confirms what is newest"))
-        if not await self._service.has_applied(currency, deadline_s):
+        if not await self._service.has_applied(freshness, deadline_s):
             return Failure(Problem(ErrorKind.NO_LEADER, "this member is behind"))
         document = self._machine.routes.current
         return Success(PublishedRoutes(document.version, unpack(document)))
--- a/src/crowsill/control/replica_grants.py
+++ b/src/crowsill/control/replica_grants.py
@@ -28,7 +28,7 @@
     def note(self, words: list[LimitWord]) -> None:
         """Take in what another process knows, and log what is new."""
         for instance_id in self.limits.note(words, monotonic_s()):
-            per_s = self.limits.named_per_s(instance_id)
+            per_s = self.limits.advertised_per_s(instance_id)
             log_event(
                 Event.REPLICA_LIMIT_KNOWN,
                 replica=instance_id,
--- a/src/crowsill/control/replica_limits.py
+++ b/src/crowsill/control/replica_limits.py
@@ -87,7 +87,7 @@
         """Return what is known of a replica's limit; None without any."""
         return self._limits.get(instance_id)
 
-    def named_per_s(self, instance_id: str) -> float | None:
+    def advertised_per_s(self, instance_id: str) -> float | None:
         """Return the requests a second that a replica takes by its own word; None without limit."""
         limit = self._limits.get(instance_id)
         return limit.per_s if limit is not None and limit.holds else None
--- a/src/crowsill/control/replica_sight.py
+++ b/src/crowsill/control/replica_liveness.py
@@ -10,7 +10,7 @@
 SUSPICION_S = 2.0
 
 
-class ReplicaSight:
+class ReplicaLiveness:
     """Clocks of what was heard, by the id of a replica's life."""
 
     def __init__(
@@ -27,7 +27,7 @@
         self._seen_s: dict[str, float] = {}
         self._suspected_s: dict[str, float] = {}
 
-    def note_seen(self, instance_ids: list[str]) -> None:
+    def note_heartbeats(self, instance_ids: list[str]) -> None:
         """Note that replicas sent a heartbeat; a follower tells the leader."""
         self._seen_s.update(dict.fromkeys(instance_ids, monotonic_s()))
         self._tell_leader(SeenInstances(instance_ids))
--- a/src/crowsill/control/replica_overview.py
+++ b/src/crowsill/control/replica_overview.py
@@ -66,7 +66,7 @@
             instance.state,
             [held.name for held in instance.models],
             found.get(instance.instance_id, []),
-            limits.named_per_s(instance.instance_id),
+            limits.advertised_per_s(instance.instance_id),
             limits.granted(instance.instance_id),
         )
         for instance in directory.instances
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -1,4 +1,4 @@
-"""The control role: one member of the group that holds the durable state."""
+"""The control role: one member of the group that stores the replicated state."""
 
 import asyncio
 import secrets
@@ -16,15 +16,15 @@
 from crowsill.consensus.messages import Envelope
 from crowsill.consensus.node import RaftNode
 from crowsill.consensus.types import MemberSetup, RaftConfig, Role, Snapshot
-from crowsill.control.abandonment import abandon_vanished
+from crowsill.control.abandonment import abandon_lost_claims
 from crowsill.control.announcer import AnnouncerPorts, GroupAnnouncer
 from crowsill.control.bootstrap import agree_on_members, agree_with_seeds, first_state
 from crowsill.control.driver import ConsensusDriver
 from crowsill.control.fleet_observer import FleetObserver
-from crowsill.control.joining import Joiner
+from crowsill.control.joining import GroupJoiner
 from crowsill.control.leader_link import LeaderLink
 from crowsill.control.members import MemberChanges
-from crowsill.control.operations import Operations
+from crowsill.control.operations import OperatorService
 from crowsill.control.placers import LeadingMember, make_polled_placer, make_registered_placer
 from crowsill.control.publisher import ChangePublisher
 from crowsill.control.quarantine_expiry import expire_suspects
@@ -53,13 +53,13 @@
 if TYPE_CHECKING:
     from crowsill.backends.http_control import HttpControl
 
-GROUP = "main"
+GROUP_NAME = "main"
 HAND_OVER_TIMEOUT_S = 1.5
-MEMBERS_POLL_S = 0.2
+MEMBERS_POLL_INTERVAL_S = 0.2
 
 
 class ControlRole:
-    """One control member's work."""
+    """Runs one control member."""
 
     def __init__(
         self,
@@ -73,10 +73,10 @@
 
         Args:
             settings: The process's settings.
-            control: Its control table.
+            control: Its control settings.
             key: The cluster key.
             folder: The open data folder.
-            ports: How outside systems are spoken to.
+            ports: Adapters to external systems.
         """
         self._ports = ports
         self._settings = settings
@@ -98,7 +98,7 @@
         self._contacts = GroupContacts(control.seeds, self._random)
         self._links = MemberLinks(self._local, self._random, self._receive)
         self._tasks: list[asyncio.Task[None]] = []
-        self._leading: list[asyncio.Task[None]] = []
+        self._leader_tasks: list[asyncio.Task[None]] = []
         self._driver_task: asyncio.Task[None] | None = None
         self._backends: HttpControl | None = None
         self._service: MemberService | None = None
@@ -130,8 +130,8 @@
             return Failure(recovery.failure())
         recovered = recovery.unwrap()
         if self._control.platform_list:
-            # Imported where it is used: its client library costs a member that polls no back ends
-            # 10 MB and a fifth of its start time.
+            # Imported on use: its client library costs a member that polls no back ends 10 MB of
+            # memory and a fifth of its start time.
             from crowsill.backends.http_control import HttpControl
 
             self._backends = HttpControl(self._control.platform_list)
@@ -152,13 +152,13 @@
         listen = self._control.listen
         await self._server.start(listen.host, listen.port)
         if self._control.operators is not None:
-            operations = Operations(self._settings, service, self._machine, self._fleet)
+            operations = OperatorService(self._settings, service, self._machine, self._fleet)
             application = operator_application(operations, self._control.operator_token_sha256)
             self._operators = HttpServer(application, self._control.operators)
             await self._operators.start()
         if self._ports.engine_calls is not None:
             self._engine_calls = self._ports.engine_calls()
-            self._engine_calls.on_leaving = service.leaving.note
+            self._engine_calls.on_leaving = service.draining.note
         if self._control.registrations is not None:
             registrations = Registrations(
                 service, self._machine, self._ports.codec, self._control.registrations.port
@@ -187,12 +187,12 @@
         ]
         if self._control.seeds:
             own = self._control.listen
-            joiner = Joiner(driver.node, self._local, own, self._contacts, self._random)
+            joiner = GroupJoiner(driver.node, self._local, own, self._contacts, self._random)
             self._tasks.append(asyncio.create_task(joiner.run()))
         await driver.run()
 
     def use_seeds(self, control: ControlSettings) -> None:
-        """Take over seeds that have changed."""
+        """Adopt changed seeds."""
         self._contacts.seeds = control.seeds
 
     async def _agree_on_group(self) -> Membership | None:
@@ -217,7 +217,7 @@
         )
         setup = MemberSetup(
             member_id=self._folder.identity,
-            group=GROUP,
+            group=GROUP_NAME,
             hard_state=recovered.hard_state,
             log=recovered.log,
             membership=membership,
@@ -262,20 +262,20 @@
     async def _follow_members(self, driver: ConsensusDriver) -> None:
         while True:
             self._links.follow(driver.node.membership.members)
-            await asyncio.sleep(MEMBERS_POLL_S)
+            await asyncio.sleep(MEMBERS_POLL_INTERVAL_S)
 
     def _on_role(self, role: Role) -> None:
-        for task in self._leading:
+        for task in self._leader_tasks:
             task.cancel()
-        self._leading = []
+        self._leader_tasks = []
         if self._service is not None:
-            self._service.on_wanted = self._service.forward_demand
+            self._service.on_waiting = self._service.forward_demand
             self._service.announcer = None
         if role is not Role.LEADER or self._service is None:
             return
         driver = self._driver()
         changes = MemberChanges(driver, self._local, self._control.target_voters)
-        self._leading = [
+        self._leader_tasks = [
             asyncio.create_task(changes.reconcile()),
             asyncio.create_task(self._quota.keep_recording(driver)),
             asyncio.create_task(
@@ -288,14 +288,14 @@
             self._settings.node, self._control, self._service, driver, self._current_routes
         )
         if self._engine_calls is not None:
-            self._lead_registered(member, self._engine_calls)
+            self._start_registered_placement(member, self._engine_calls)
         if self._backends is not None:
-            self._lead_fleet(member, self._backends)
+            self._start_polled_placement(member, self._backends)
 
     def _announce_group(
         self, service: MemberService, changes: MemberChanges, driver: ConsensusDriver
     ) -> None:
-        """Tell those who may know nobody where the group is."""
+        """Start to announce the group's addresses to processes that may not know any member."""
         ports = AnnouncerPorts(
             members=lambda: member_addresses(driver),
             silent_members=changes.silent_addresses,
@@ -304,16 +304,16 @@
             submit=driver.submit,
         )
         service.announcer = GroupAnnouncer(ports, self._local)
-        self._leading.append(asyncio.create_task(service.announcer.run()))
+        self._leader_tasks.append(asyncio.create_task(service.announcer.run()))
 
-    def _lead_registered(self, member: LeadingMember, calls: EngineCalls) -> None:
-        """Place models on engines that registered themselves."""
+    def _start_registered_placement(self, member: LeadingMember, calls: EngineCalls) -> None:
+        """Start to place models on engines that registered themselves."""
         placer = make_registered_placer(member, calls)
-        member.service.on_wanted = placer.note_waiting
-        self._leading.append(asyncio.create_task(placer.run()))
+        member.service.on_waiting = placer.note_waiting
+        self._leader_tasks.append(asyncio.create_task(placer.run()))
 
     def _current_routes(self) -> RouteConfiguration | None:
-        """Return the routes in force, read once for each version."""
+        """Return the active routes, decoded once for each version."""
         document = self._machine.routes.current
         if document.version == 0:
             return None
@@ -321,31 +321,31 @@
             self._routes = self._ports.codec.decode(unpack(document)).value_or(None)
         return self._routes
 
-    def _lead_fleet(self, member: LeadingMember, backends: "HttpControl") -> None:
-        """Observe the polled back ends and place models on them."""
+    def _start_polled_placement(self, member: LeadingMember, backends: "HttpControl") -> None:
+        """Start to observe the polled back ends and to place models on them."""
         observer = FleetObserver(backends, backends, self._fleet, self._subscribers.push_fleet)
         placement = make_polled_placer(member, backends, self._fleet)
-        self._leading += [
+        self._leader_tasks += [
             asyncio.create_task(observer.run(member.driver.node.term)),
             asyncio.create_task(placement.run()),
-            asyncio.create_task(abandon_vanished(member.service, self._machine, member.driver)),
+            asyncio.create_task(abandon_lost_claims(member.service, self._machine, member.driver)),
         ]
 
     async def drain(self) -> None:
-        """Stop by plan: give leadership away."""
+        """Transfer leadership to another member before a planned stop."""
         if self._service is not None and self._service.driver is not None:
-            await self._service.driver.hand_over(HAND_OVER_TIMEOUT_S)
+            await self._service.driver.hand_over_leadership(HAND_OVER_TIMEOUT_S)
 
     async def failed(self) -> BaseException | None:
-        """Wait until the member ends by itself; return why."""
+        """Wait until the member stops by itself; return the error."""
         if self._driver_task is None:
             return None
         await asyncio.wait([self._driver_task])
         return None if self._driver_task.cancelled() else self._driver_task.exception()
 
     async def stop(self) -> None:
-        """Release everything; what is durable is synced already."""
-        tasks = [*self._tasks, *self._leading]
+        """Stop all tasks and close everything; durable state is already synced."""
+        tasks = [*self._tasks, *self._leader_tasks]
         if self._service is not None and self._service.driver is not None:
             self._service.driver.stop()
         elif self._driver_task is not None:
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -1,4 +1,4 @@
-"""What a control member answers to other processes."""
+"""Handles requests and pushes of other processes at a control member."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,15 +6,15 @@
 import msgspec
 
 from crowsill.clock import PROCESS_STARTED_S, monotonic_s
-from crowsill.control.announcer import GroupAnnouncer, take_referral
-from crowsill.control.crash_notes import note_of
+from crowsill.control.announcer import GroupAnnouncer, accept_referral
+from crowsill.control.crash_commands import to_crash_command
+from crowsill.control.draining_replicas import DrainingReplicas
 from crowsill.control.driver import ConsensusDriver
 from crowsill.control.gateway_reports import GatewayReports
-from crowsill.control.leaving_replicas import LeavingReplicas
 from crowsill.control.members import MemberChanges
 from crowsill.control.quota_grants import QuotaGrants
-from crowsill.control.replica_sight import ReplicaSight
-from crowsill.control.subscribers import CurrencyRelay, Subscribers
+from crowsill.control.replica_liveness import ReplicaLiveness
+from crowsill.control.subscribers import FreshnessRelay, Subscribers
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.settings import Address
@@ -56,22 +56,23 @@
 )
 from crowsill.transport.stream import LocalIdentity
 
-GatewayQuestion = Heartbeat | GrantRequest | ReplicaGrantRequest | ReportCrash | ClearRequests
+GatewayRequest = Heartbeat | GrantRequest | ReplicaGrantRequest | ReportCrash | ClearRequests
 
 LEADER_REPLY_TIMEOUT_S = 1.0
 FORWARD_TIMEOUT_S = 3.0
-# A member that has just started holds a gateway's question for so long until a leader is known, so
-# that the gateway need not ask again and again while the group elects one.
-LEADER_WAIT_S = 0.6
-JUST_STARTED_S = 3.0
-LEADER_POLL_S = 0.01
-# A member that lacks what the leader confirmed waits for it so long before it sends a follower on.
-# Followers apply a commit with the leader's next heartbeat (0.1 s); a heartbeat of a gateway every
-# 0.5 s, this wait and a new stream (0.3 s to connect) add up to 1.2 s after an acknowledgement.
-APPLY_WAIT_S = 0.4
-APPLY_POLL_S = 0.01
-FULL_GROUP_WAIT_S = 2.5
-FULL_GROUP_POLL_S = 0.02
+# A member that has just started keeps a gateway's request waiting up to this time until a leader is
+# known. Without the wait, gateways repeat their requests throughout the election.
+MAX_LEADER_WAIT_S = 0.6
+STARTUP_PERIOD_S = 3.0
+LEADER_POLL_INTERVAL_S = 0.01
+# A member that hasn't applied the state confirmed by the leader waits up to this time before it
+# redirects a follower. Followers apply a commit with the leader's next heartbeat (0.1 s). The
+# heartbeat interval of a gateway (0.5 s), this wait and a new stream (0.3 s to connect) add up to
+# 1.2 s after an acknowledgement.
+MAX_APPLY_WAIT_S = 0.4
+APPLY_POLL_INTERVAL_S = 0.01
+MAX_FULL_GROUP_WAIT_S = 2.5
+FULL_GROUP_POLL_INTERVAL_S = 0.02
 
 
 class MemberService:
@@ -79,19 +80,20 @@
 
     Attributes:
         driver: The consensus driver; None until the group is known.
-        reports: What gateways and entries told this member.
-        sight: What was heard of replicas.
-        leaving: Replicas that said in answers that they leave.
+        reports: Reports of gateways and entries to this member.
+        liveness: When replicas last sent heartbeats, and which ones gateways cannot reach.
+        draining: Replicas that announced in a response that they drain.
         leader_stream: Stream to the leader while this member follows.
-        on_wanted: Called with what gateways wait for, on the leader.
-        announcer: Tells others where the group is while this member leads; None otherwise.
-        quota: Grants tenants what they may use.
+        on_waiting: Called on the leader with the resources that requests at gateways wait for.
+        announcer: Sends the group's addresses to other processes while this member leads; None
+            otherwise.
+        quota: Grants quota units to tenants.
     """
 
     def __init__(
         self,
         local: LocalIdentity,
-        is_blank: bool,
+        is_empty: bool,
         subscribers: Subscribers,
         links: MemberLinks,
         contacts: GroupContacts,
@@ -104,83 +106,83 @@
 
         Args:
             local: Identity of this member.
-            is_blank: Whether the member had stored nothing when it started.
-            subscribers: Streams that follow this member.
+            is_empty: Whether the member had no stored state when it started.
+            subscribers: Streams that receive this member's state.
             links: Streams to the other members.
-            contacts: Where this member looks for the group while it belongs to none.
-            quota: Grants tenants what they may use.
-            target_voters: Voters that a group formed from seeds grows to.
+            contacts: Addresses at which this member looks for the group while it belongs to none.
+            quota: Grants quota units to tenants.
+            target_voters: Number of voters that a group formed from seeds grows to.
             heartbeat_s: Time between two heartbeats of a replica that registers itself.
         """
         self.quota = quota
         self._target_voters = target_voters
-        self._has_been_full = False
-        self.on_wanted: Callable[[dict[str, int]], None] = self.forward_demand
+        self._has_reached_full_size = False
+        self.on_waiting: Callable[[dict[str, int]], None] = self.forward_demand
         self.announcer: GroupAnnouncer | None = None
         self._links = links
         self._contacts = contacts
         self._local = local
-        self._was_blank = is_blank
+        self._was_empty = is_empty
         self._subscribers = subscribers
         self.driver: ConsensusDriver | None = None
         self.reports = GatewayReports()
-        self.sight = ReplicaSight(heartbeat_s, self._tell_leader)
+        self.liveness = ReplicaLiveness(heartbeat_s, self._push_to_leader)
         self.leader_stream: Connection | None = None
-        self.leaving = LeavingReplicas(
+        self.draining = DrainingReplicas(
             lambda: None if self.driver is None else self.driver.machine.directory,
-            self.submit_anywhere,
+            self.submit_or_forward,
         )
-        self._relay = CurrencyRelay(self._ask_leader)
-        # Sites of members, by identity, as their streams say.
+        self._relay = FreshnessRelay(self._query_leader)
+        # Zones of members by identity, as reported by their streams.
         self._zones = {local.identity: local.zone}
 
     async def on_request(self, connection: Connection, body: Body) -> Body:
-        """Answer a request."""
+        """Handle a request and return the response."""
         if isinstance(body, Ping | BlankCheck | GroupReferral):
-            return self._answer_for_itself(connection, body)
+            return self._handle_locally(connection, body)
         driver = self.driver
         if driver is None:
-            return self._refer(None)
+            return self._redirect(None)
         if isinstance(body, SubmitCommand | MembersRequest):
-            return await self.answer_as_leader(body, driver)
-        if isinstance(body, GatewayQuestion):
-            return await self._answer_gateway(connection, body, driver)
+            return await self.handle_as_leader(body, driver)
+        if isinstance(body, GatewayRequest):
+            return await self._handle_gateway(connection, body, driver)
         if isinstance(body, JoinRequest | FindGroup) and driver.is_leader:
-            return self._answer_newcomer(body, driver)
-        return self._refer(driver)
+            return self._handle_newcomer(body, driver)
+        return self._redirect(driver)
 
-    def _refer(self, driver: ConsensusDriver | None) -> NotLeader:
-        """Send a caller on to whoever may lead, or may know who does."""
+    def _redirect(self, driver: ConsensusDriver | None) -> NotLeader:
+        """Redirect a caller to the leader, or to processes that may know the leader."""
         members = [] if driver is None else driver.node.membership.members
         known = [f"{member.host}:{member.port}" for member in members]
         if not known:
             known = [format_address(address) for address in self._contacts.known()]
         return NotLeader(None if driver is None else driver.leader_address(), known)
 
-    def _answer_newcomer(
-        self, question: JoinRequest | FindGroup, driver: ConsensusDriver
+    def _handle_newcomer(
+        self, request: JoinRequest | FindGroup, driver: ConsensusDriver
     ) -> JoinReply | GroupReferral:
-        """Answer, as the leader, a process that looks for the group."""
-        if isinstance(question, JoinRequest):
-            return self._changes(driver).join(question)
+        """Handle, as the leader, a request of a process that looks for the group."""
+        if isinstance(request, JoinRequest):
+            return self._changes(driver).join(request)
         if self.announcer is not None:
-            self.announcer.note_asked(question.address)
+            self.announcer.note_asked(request.address)
         return GroupReferral([format_address(address) for address in member_addresses(driver)])
 
-    def _answer_for_itself(
-        self, connection: Connection, question: Ping | BlankCheck | GroupReferral
+    def _handle_locally(
+        self, connection: Connection, request: Ping | BlankCheck | GroupReferral
     ) -> Pong | MemberBlank:
-        """Answer what needs no group."""
-        if isinstance(question, GroupReferral):
-            return take_referral(self._contacts, connection, question)
-        if isinstance(question, Ping):
+        """Handle a request that needs no group."""
+        if isinstance(request, GroupReferral):
+            return accept_referral(self._contacts, connection, request)
+        if isinstance(request, Ping):
             return Pong()
-        return MemberBlank(self._local.identity, self._is_blank())
+        return MemberBlank(self._local.identity, self._is_empty())
 
-    async def answer_as_leader(
+    async def handle_as_leader(
         self, request: SubmitCommand | MembersRequest, driver: ConsensusDriver
     ) -> Body:
-        """Answer what only a leader can."""
+        """Handle a request that only a leader can serve."""
         if isinstance(request, SubmitCommand):
             if isinstance(request.command, PublishRoutes):
                 await self._wait_until_full(driver)
@@ -193,104 +195,108 @@
         return MemberChanges(driver, self._local, self._target_voters)
 
     async def _wait_until_full(self, driver: ConsensusDriver) -> None:
-        """Hold the first acknowledgement back until the group has its full size.
+        """Delay the first acknowledgement until the group has its full size.
 
-        A smaller group could lose what it acknowledged with as many disks as may be lost at once.
+        Losing as many disks as a full group survives could make a smaller group lose an
+        acknowledged entry.
         """
-        deadline_s = monotonic_s() + FULL_GROUP_WAIT_S
-        while not self._has_been_full and driver.is_leader:
+        deadline_s = monotonic_s() + MAX_FULL_GROUP_WAIT_S
+        while not self._has_reached_full_size and driver.is_leader:
             if self._changes(driver).is_full() or monotonic_s() > deadline_s:
-                self._has_been_full = True
+                self._has_reached_full_size = True
                 return
-            await asyncio.sleep(FULL_GROUP_POLL_S)
+            await asyncio.sleep(FULL_GROUP_POLL_INTERVAL_S)
 
-    async def submit_anywhere(self, request: SubmitCommand) -> Body:
-        """Have a command committed by this member if it leads, else through the leader.
+    async def submit_or_forward(self, request: SubmitCommand) -> Body:
+        """Commit a command at this member if it leads, otherwise through the leader.
 
         Raises:
-            ConnectionLostError: The leader was lost: the command may or may not be committed.
+            ConnectionLostError: The connection to the leader broke; the command may or may not be
+                committed.
         """
         driver = self.driver
         if driver is None:
             return NotLeader(None)
         if driver.is_leader:
-            return await self.answer_as_leader(request, driver)
+            return await self.handle_as_leader(request, driver)
         stream = self.leader_stream
         if stream is None or stream.is_closed:
             return NotLeader(None)
         return await stream.request(request, FORWARD_TIMEOUT_S)
 
-    async def confirmed_currency(self) -> Currency | None:
-        """Return what is current, confirmed by a leader's lease after this call."""
-        currency = self.currency()
-        return currency if currency is not None else await self._relay.confirm()
+    async def confirmed_freshness(self) -> Currency | None:
+        """Return the current versions, confirmed after this call by the lease of a leader."""
+        freshness = self.own_freshness()
+        return freshness if freshness is not None else await self._relay.confirm()
 
     def leader_host(self) -> str:
-        """Return the leader's IP number, or an empty text."""
+        """Return the leader's IP address, or an empty string."""
         driver = self.driver
         address = None if driver is None else driver.leader_address()
         return "" if address is None else address.rpartition(":")[0]
 
     def forward_demand(self, wanted: dict[str, int]) -> None:
-        """Pass on to the leader at once what gateways wait for."""
+        """Push to the leader at once which resources requests at gateways wait for."""
         stream = self.leader_stream
         if stream is not None and not stream.is_closed:
             stream.push(DemandNotice(wanted))
 
     def on_push(self, connection: Connection, body: Body) -> None:
-        """Take in a push."""
+        """Handle a push."""
         if isinstance(body, ConsensusTraffic) and self.driver is not None:
             self._links.note_incoming(connection)
             self._zones[connection.peer.identity] = connection.peer.zone
             self.driver.receive(body.envelopes)
         elif isinstance(body, DemandNotice):
-            self.on_wanted(body.wanted)
+            self.on_waiting(body.wanted)
         elif isinstance(body, SeenInstances):
-            self.sight.note_seen(body.instance_ids)
+            self.liveness.note_heartbeats(body.instance_ids)
         elif isinstance(body, LeavingInstances):
-            self.leaving.note(body.instance_ids)
+            self.draining.note(body.instance_ids)
         elif isinstance(body, SuspectInstances):
-            self.sight.note_suspects(body.instance_ids)
+            self.liveness.note_suspects(body.instance_ids)
         elif isinstance(body, ReplicaLimitsNotice):
             self._note_limits(body)
 
     def _note_limits(self, notice: ReplicaLimitsNotice) -> None:
-        """Take in what replicas named to a gateway; a follower tells the leader."""
+        """Record the limits that replicas advertised to a gateway; a follower pushes them on."""
         self.reports.replica_grants.note(notice.words)
-        self._tell_leader(notice)
+        self._push_to_leader(notice)
 
-    def _tell_leader(self, notice: SeenInstances | SuspectInstances | ReplicaLimitsNotice) -> None:
+    def _push_to_leader(
+        self, notice: SeenInstances | SuspectInstances | ReplicaLimitsNotice
+    ) -> None:
         stream = self.leader_stream
         if stream is not None and not stream.is_closed:
             stream.push(notice)
 
-    def _is_blank(self) -> bool:
-        if not self._was_blank:
+    def _is_empty(self) -> bool:
+        if not self._was_empty:
             return False
         return self.driver is None or self.driver.node.term == 0
 
-    async def _answer_gateway(
+    async def _handle_gateway(
         self,
         connection: Connection,
-        question: GatewayQuestion,
+        request: GatewayRequest,
         driver: ConsensusDriver,
     ) -> Body:
-        """Answer an entry or gateway that follows this member, or a follower on its behalf."""
-        match question:
+        """Handle a request of an entry or gateway, or of a follower on their behalf."""
+        match request:
             case GrantRequest():
-                return await self.quota.answer(question, driver, self.leader_stream)
+                return await self.quota.answer(request, driver, self.leader_stream)
             case ReplicaGrantRequest():
                 grants = self.reports.replica_grants
-                return await grants.answer(question, driver, self.leader_stream)
+                return await grants.answer(request, driver, self.leader_stream)
             case ReportCrash() | ClearRequests():
-                return await self._record(note_of(question))
+                return await self._commit_crash_command(to_crash_command(request))
             case _:
-                return await self._on_heartbeat(connection, question, driver)
+                return await self._on_heartbeat(connection, request, driver)
 
-    async def _record(self, note: CrashNote) -> Body:
-        """Have what a gateway saw committed; recorded twice it changes nothing more."""
+    async def _commit_crash_command(self, crash_command: CrashNote) -> Body:
+        """Commit what a gateway observed; a second commit changes nothing."""
         try:
-            return await self.submit_anywhere(SubmitCommand(note))
+            return await self.submit_or_forward(SubmitCommand(crash_command))
         except ConnectionLostError:
             return NotLeader(None)
 
@@ -302,51 +308,51 @@
             self.reports.use.note(connection.peer.identity, heartbeat.in_use, monotonic_s())
         self._subscribers.subscribe(connection, heartbeat)
         await self._wait_for_first_leader(driver)
-        currency = await self.confirmed_currency()
-        if currency is None:
-            return self._refer(driver)
-        # A member confirms only what it has itself: one whose disk hangs goes on answering, and its
-        # gateways would wait for what it cannot bring.
-        if not await self.has_applied(currency, monotonic_s() + APPLY_WAIT_S):
+        freshness = await self.confirmed_freshness()
+        if freshness is None:
+            return self._redirect(driver)
+        # A member confirms only state that it has applied. One whose disk hangs still responds, and
+        # its gateways would wait for updates that it cannot deliver.
+        if not await self.has_applied(freshness, monotonic_s() + MAX_APPLY_WAIT_S):
             log_event(Event.MEMBER_BEHIND, follower=connection.peer.node)
             return MemberBehind()
         if heartbeat.in_use is None:
-            return currency
-        in_use = self.reports.use_of_all(driver.is_leader, monotonic_s())
-        return msgspec.structs.replace(currency, in_use=in_use)
+            return freshness
+        in_use = self.reports.total_use(driver.is_leader, monotonic_s())
+        return msgspec.structs.replace(freshness, in_use=in_use)
 
-    async def has_applied(self, currency: Currency, until_s: float) -> bool:
-        """Wait until this member has applied what is current; return False if it never did.
+    async def has_applied(self, freshness: Currency, deadline_at_s: float) -> bool:
+        """Wait until this member has applied the confirmed state; return False on a time-out.
 
         Args:
-            currency: What the leader confirmed.
-            until_s: Clock after which it is not waited for.
+            freshness: Versions that the leader confirmed.
+            deadline_at_s: Monotonic time in seconds at which the wait ends.
         """
-        while not self._has_applied(currency):
-            if monotonic_s() > until_s:
+        while not self._has_applied(freshness):
+            if monotonic_s() > deadline_at_s:
                 return False
-            await asyncio.sleep(APPLY_POLL_S)
+            await asyncio.sleep(APPLY_POLL_INTERVAL_S)
         return True
 
-    def _has_applied(self, currency: Currency) -> bool:
+    def _has_applied(self, freshness: Currency) -> bool:
         if self.driver is None:
             return False
         machine = self.driver.machine
         return (
-            machine.configuration.current.revision >= currency.revision
-            and machine.routes.current.version >= currency.routes_version
-            and machine.directory.version >= currency.directory_version
-            and machine.crashes.version >= currency.suspects_version
+            machine.configuration.current.revision >= freshness.revision
+            and machine.routes.current.version >= freshness.routes_version
+            and machine.directory.version >= freshness.directory_version
+            and machine.crashes.version >= freshness.suspects_version
         )
 
     async def _wait_for_first_leader(self, driver: ConsensusDriver) -> None:
-        """Wait for a moment while a member that has just started knows no leader."""
+        """Wait briefly for a leader if this member has just started."""
         now_s = monotonic_s()
-        if now_s - PROCESS_STARTED_S > JUST_STARTED_S:
+        if now_s - PROCESS_STARTED_S > STARTUP_PERIOD_S:
             return
-        until_s = now_s + LEADER_WAIT_S
-        while monotonic_s() < until_s and not self._reaches_leader(driver):
-            await asyncio.sleep(LEADER_POLL_S)
+        deadline_at_s = now_s + MAX_LEADER_WAIT_S
+        while monotonic_s() < deadline_at_s and not self._reaches_leader(driver):
+            await asyncio.sleep(LEADER_POLL_INTERVAL_S)
 
     def _reaches_leader(self, driver: ConsensusDriver) -> bool:
         if driver.is_leader:
@@ -354,22 +360,22 @@
         stream = self.leader_stream
         return stream is not None and not stream.is_closed
 
-    def currency(self) -> Currency | None:
-        """What is current by this member's own lease; None when it has none."""
+    def own_freshness(self) -> Currency | None:
+        """Return the current versions by this member's own lease; None without a lease."""
         driver = self.driver
         if driver is None or not driver.has_lease():
             return None
         revision = driver.machine.configuration.current.revision
         entries = len(self.reports.live_entries.live(monotonic_s()))
         members = driver.node.membership.members
-        # Read the lease again after the state, so that what is returned was current then.
+        # The lease is checked again after the state is read, so the returned state was current.
         machine = driver.machine
         versions = (
             machine.routes.current.version,
             machine.directory.version,
             machine.crashes.version,
         )
-        currency = Currency(
+        freshness = Currency(
             revision,
             entries,
             [f"{member.host}:{member.port}" for member in members],
@@ -377,19 +383,19 @@
             member_zones=[self._zones.get(member.member_id, "") for member in members],
             limits=self.reports.replica_grants.told(),
         )
-        return currency if driver.has_lease() else None
+        return freshness if driver.has_lease() else None
 
-    async def _ask_leader(self) -> Currency | None:
+    async def _query_leader(self) -> Currency | None:
         stream = self.leader_stream
         if stream is None or stream.is_closed:
             return None
         position = self._subscribers.fleet_position()
-        question = self.reports.question(stream, position, monotonic_s())
+        request = self.reports.make_heartbeat(stream, position, monotonic_s())
         try:
-            reply = await stream.request(question, LEADER_REPLY_TIMEOUT_S)
+            reply = await stream.request(request, LEADER_REPLY_TIMEOUT_S)
         except ConnectionLostError:
-            # Demand that did not arrive is dropped: later it would seem to have come at once. The
-            # stream may have gone silent for good: the next question goes out on a new one.
+            # Demand that didn't arrive is dropped: delivered later, it would look like new demand.
+            # The stream may be silent for good, so the next request uses a new one.
             stream.close()
             return None
         if not isinstance(reply, Currency):
@@ -401,12 +407,12 @@
         return msgspec.structs.replace(reply, in_use=None)
 
     async def refresh_from_leader(self) -> None:
-        """Ask the leader once, so that this member follows the fleet without any entry."""
+        """Query the leader once, so that this member follows the fleet without any entry."""
         await self._relay.confirm()
 
 
 def member_addresses(driver: ConsensusDriver) -> list[Address]:
-    """Return the addresses of all members, this one's own first."""
+    """Return the addresses of all members, this member's own first."""
     node = driver.node
     own_first = sorted(node.membership.members, key=lambda item: item.member_id != node.member_id)
     return [Address(member.host, member.port) for member in own_first]
--- a/src/crowsill/control/subscribers.py
+++ b/src/crowsill/control/subscribers.py
@@ -184,7 +184,7 @@
             connection.push_encoded(payload)
 
 
-class CurrencyRelay:
+class FreshnessRelay:
     """Shares one confirmation by the leader among all heartbeats that waited for it.
 
     A confirmation counts for a heartbeat only if it was asked for after the heartbeat came.
--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -88,7 +88,7 @@
         async def committed():
             for role, disk in zip(self.roles, self.disks, strict=True):
                 if self._leads(role) and disk._goes_on.is_set():
-                    reply = await role._service.submit_anywhere(command)
+                    reply = await role._service.submit_or_forward(command)
                     if isinstance(reply, Submitted):
                         return True
             return False
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_draining_replicas.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from crowsill.control.leaving_replicas import LeavingReplicas
+from crowsill.control.draining_replicas import DrainingReplicas
 from crowsill.model.instances import Beat, HeldModel, Instance, InstanceState, life_of
 from crowsill.state.commands import DrainInstance, RecordBeat, decode_batch, encode_batch
 from crowsill.state.directory import Directory
@@ -64,7 +64,7 @@
         self.machine.apply(RecordBeat(Beat(life(), 1)))
         self.submitted = []
         self._losing = losing
-        self.leaving = LeavingReplicas(lambda: self.machine.directory, self.submit)
+        self.leaving = DrainingReplicas(lambda: self.machine.directory, self.submit)
 
     async def submit(self, request):
         self.submitted.append(request.command)
@@ -106,7 +106,7 @@
         async def submit(request):
             submitted.append(request)
 
-        LeavingReplicas(lambda: None, submit).note(["a@1"])
+        DrainingReplicas(lambda: None, submit).note(["a@1"])
         await asyncio.sleep(0)
         assert not submitted
 
--- a/tests/test_gateway_use.py
+++ b/tests/test_gateway_use.py
@@ -45,20 +45,20 @@
     entry = EntryStatus("g1.1", "g1", "z", 0)
     reports.note(Heartbeat(0, 0, [entry]), 0.0)
     reports.use.note("g1.1", {"a": ReplicaUse(2)}, 0.0)
-    first = reports.question("leader 1", (0, 0), 0.0)
+    first = reports.make_heartbeat("leader 1", (0, 0), 0.0)
     assert first.entries == [entry] and first.in_use == {"a": ReplicaUse(2)}
-    soon = reports.question("leader 1", (0, 0), 0.1)
+    soon = reports.make_heartbeat("leader 1", (0, 0), 0.1)
     assert soon.entries == [] and soon.in_use is None
-    assert reports.question("leader 2", (0, 0), 0.15).entries == [entry]
-    assert reports.question("leader 2", (0, 0), 0.5).in_use == {"a": ReplicaUse(2)}
+    assert reports.make_heartbeat("leader 2", (0, 0), 0.15).entries == [entry]
+    assert reports.make_heartbeat("leader 2", (0, 0), 0.5).in_use == {"a": ReplicaUse(2)}
 
 
 def test_what_the_leader_told_is_passed_on_for_a_moment_only():
     reports = GatewayReports()
-    assert reports.use_of_all(is_leader=False, now_s=0.0) is None
+    assert reports.total_use(is_leader=False, now_s=0.0) is None
     reports.use.note_total({"a": ReplicaUse(7)}, 1.0)
-    assert reports.use_of_all(is_leader=False, now_s=1.1) == {"a": ReplicaUse(7)}
-    assert reports.use_of_all(is_leader=False, now_s=1.1 + TOTAL_LIFETIME_S) is None
+    assert reports.total_use(is_leader=False, now_s=1.1) == {"a": ReplicaUse(7)}
+    assert reports.total_use(is_leader=False, now_s=1.1 + TOTAL_LIFETIME_S) is None
 
 
 def test_a_gateway_leaves_out_what_it_has_itself():
@@ -83,8 +83,8 @@
     contacts = GroupContacts([], Random(1))
     service = MemberService(local, False, silent, None, contacts, quota=grants)
     service.driver = SimpleNamespace(is_leader=True)
-    service.currency = lambda: Currency(0, 3)
-    service._has_applied = lambda _currency: True
+    service.own_freshness = lambda: Currency(0, 3)
+    service._has_applied = lambda _freshness: True
 
     async def tell(source, **in_use):
         stream = SimpleNamespace(peer=SimpleNamespace(identity=source, node=source))
--- a/tests/test_operators_http.py
+++ b/tests/test_operators_http.py
@@ -11,7 +11,7 @@
 
 from crowsill.api.operators import operator_application
 from crowsill.api.server import HttpServer
-from crowsill.control.operations import Operations
+from crowsill.control.operations import OperatorService
 from crowsill.control.quota_grants import QuotaGrants
 from crowsill.control.service import MemberService
 from crowsill.control.subscribers import Subscribers
@@ -43,7 +43,7 @@
         GroupContacts([], Random(1)),
         quota=QuotaGrants(QuotaBounds(), QuotaUse(), lambda: None),
     )
-    operations = Operations(Settings("c1", "z", "key"), service, machine, fleet)
+    operations = OperatorService(Settings("c1", "z", "key"), service, machine, fleet)
     digest = hashlib.sha256(TOKEN.encode()).hexdigest()
     server = HttpServer(
         operator_application(operations, [digest]), HttpListener("127.0.0.1", 0, tls)
--- a/tests/test_proven_requests.py
+++ b/tests/test_proven_requests.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from crowsill.control.crash_notes import note_of
+from crowsill.control.crash_commands import to_crash_command
 from crowsill.model.instances import Instance
 from crowsill.model.suspects import CRASH_LIMIT
 from crowsill.state.machine import StateMachine
@@ -39,7 +39,7 @@
         for gateway in self.gateways:
             told, gateway.told = gateway.told, []
             for question in told:
-                note = msgspec.structs.replace(note_of(question), at_s=self.clock_s)
+                note = msgspec.structs.replace(to_crash_command(question), at_s=self.clock_s)
                 if self.machine.apply(note).accepted:
                     for each in self.gateways:
                         each.watch.adopt(self.machine.crashes.last_change, False)
--- a/tests/test_quarantine_commands.py
+++ b/tests/test_quarantine_commands.py
@@ -11,7 +11,7 @@
 from crowsill.api.operators import operator_application
 from crowsill.api.server import HttpServer
 from crowsill.cli.main import application
-from crowsill.control.operations import Operations
+from crowsill.control.operations import OperatorService
 from crowsill.model.fleet import FleetView
 from crowsill.model.suspects import SuspectRequest
 from crowsill.settings import HttpListener, Settings
@@ -39,7 +39,7 @@
         self.driver = SimpleNamespace(is_leader=True)
         self.leader_stream = None
 
-    async def answer_as_leader(self, request, _driver):
+    async def handle_as_leader(self, request, _driver):
         return Submitted(self._state.apply(request.command))
 
 
@@ -48,7 +48,7 @@
     """The settings file of an operator whose member runs beside this test."""
     started, loop = threading.Event(), asyncio.new_event_loop()
     state = machine()
-    operations = Operations(Settings("c1", "z", "key"), Leader(state), state, FleetView())
+    operations = OperatorService(Settings("c1", "z", "key"), Leader(state), state, FleetView())
     digest = hashlib.sha256(TOKEN.encode()).hexdigest()
     server = HttpServer(operator_application(operations, [digest]), HttpListener("127.0.0.1", 0))
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -84,7 +84,7 @@
             quota=QuotaGrants(QuotaBounds(), QuotaUse(), lambda: None),
         )
         driver = service.driver = ElectingDriver()
-        service.currency = lambda: Currency(0, 1) if driver.is_leader else None
+        service.own_freshness = lambda: Currency(0, 1) if driver.is_leader else None
         asking = asyncio.create_task(service.on_request(None, HEARTBEAT))
         await asyncio.sleep(0.1)
         driver.is_leader = True
--- a/tests/test_replica_overview.py
+++ b/tests/test_replica_overview.py
@@ -12,7 +12,7 @@
 from crowsill.api.operators import operator_application
 from crowsill.api.server import HttpServer
 from crowsill.cli.main import application
-from crowsill.control.operations import Operations
+from crowsill.control.operations import OperatorService
 from crowsill.control.replica_grants import ReplicaGrants
 from crowsill.control.replica_overview import RegisteredReplicaLine
 from crowsill.gateway.replica_book import ReplicaBook
@@ -68,7 +68,7 @@
     digest = hashlib.sha256(TOKEN.encode()).hexdigest()
     servers = []
     for leads in (False, True):
-        operations = Operations(Settings("c1", "z", "key"), Member(leads), state, FleetView())
+        operations = OperatorService(Settings("c1", "z", "key"), Member(leads), state, FleetView())
         listener = HttpListener("127.0.0.1", 0)
         servers.append(HttpServer(operator_application(operations, [digest]), listener))
 
