--- a/src/crowsill/backends/engine_calls.py
+++ b/src/crowsill/backends/engine_calls.py
@@ -76,10 +76,10 @@
     """Speaks to engines; one implementation for each dialect.
 
     Attributes:
-        on_leaving: Receives the ids of lives that said in an answer that they leave.
+        on_draining: Receives the ids of lives that said in an answer that they leave.
     """
 
-    on_leaving: Callable[[list[str]], None]
+    on_draining: Callable[[list[str]], None]
 
     async def order(self, instance: Instance, order: EngineOrder) -> OrderAnswer:
         """Send an order; `UNKNOWN` when no answer came, so that it may still be carried out."""
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -158,7 +158,7 @@
             await self._operators.start()
         if self._ports.engine_calls is not None:
             self._engine_calls = self._ports.engine_calls()
-            self._engine_calls.on_leaving = service.leaving.note
+            self._engine_calls.on_draining = service.leaving.note
         if self._control.registrations is not None:
             registrations = Registrations(
                 service, self._machine, self._ports.codec, self._control.registrations.port
--- a/src/crowsill/gateway/admission.py
+++ b/src/crowsill/gateway/admission.py
@@ -7,7 +7,7 @@
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.headers import all_values
 from crowsill.gateway.quota import Charge
-from crowsill.gateway.rejection import Refusal
+from crowsill.gateway.rejection import Rejection
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.routes import Route
 from crowsill.model.tenants import Tenant
@@ -18,8 +18,8 @@
 LONGEST_WAIT_S = 0.8
 POLL_S = 0.1
 NOT_CURRENT_RETRY_S = 0.5
-_UNKNOWN_KEY = Refusal(ErrorKind.UNAUTHENTICATED, "a known key is required")
-_NOT_CURRENT = Refusal(
+_UNKNOWN_KEY = Rejection(ErrorKind.UNAUTHENTICATED, "a known key is required")
+_NOT_CURRENT = Rejection(
     ErrorKind.NOT_READY,
     "this gateway cannot prove that it knows the keys in force",
     NOT_CURRENT_RETRY_S,
@@ -50,7 +50,7 @@
             return route.rank
         return self.tenant.rank
 
-    async def admit(self, route: Route, until_s: float) -> Refusal | None:
+    async def admit(self, route: Route, until_s: float) -> Rejection | None:
         """Decide whether the request may run; return why not, or None.
 
         Args:
@@ -61,13 +61,13 @@
         waits_until_s = min(until_s, monotonic_s() + LONGEST_WAIT_S)
         refusal = self.recheck()
         while refusal is _NOT_CURRENT and monotonic_s() < waits_until_s:
-            await self._context.changed(POLL_S)
+            await self._context.wait_for_change(POLL_S)
             refusal = self.recheck()
         if refusal is not None:
             return refusal
         return await self._charge_units(until_s)
 
-    def recheck(self) -> Refusal | None:
+    def recheck(self) -> Rejection | None:
         """Look again whether the caller's key is in force; nothing may be awaited before a send."""
         table = self._context.table
         directory = None if table is None else table.tenants
@@ -86,19 +86,19 @@
             return None
         return _UNKNOWN_KEY if found is Doubt.UNKNOWN_KEY else _NOT_CURRENT
 
-    async def charge_again(self, until_s: float) -> Refusal | None:
+    async def charge_again(self, until_s: float) -> Rejection | None:
         """Have units granted for a further run, because a replica may have run the request."""
         self._charge = None
         return await self._charge_units(until_s)
 
-    async def _charge_units(self, until_s: float) -> Refusal | None:
+    async def _charge_units(self, until_s: float) -> Rejection | None:
         tenant = self.tenant
         # A request on a public route counts to nobody: whoever shows no key may send it, too.
         if tenant is None or not tenant.is_limited or self._is_public:
             return None
         self.units = tenant.cost(self._request.prompt_tokens + self._request.output_tokens)
         charged = await self._context.grants.charge(tenant, self.units, until_s)
-        if isinstance(charged, Refusal):
+        if isinstance(charged, Rejection):
             return charged
         self._charge = charged
         return None
--- a/src/crowsill/gateway/attempt.py
+++ b/src/crowsill/gateway/attempt.py
@@ -18,20 +18,20 @@
 PROMISES = frozenset((408, 421, 429, 503))
 
 
-class Result(StrEnum):
+class AttemptResult(StrEnum):
     """How an attempt ended.
 
     Attributes:
-        WHOLE: A whole answer of the replica, ready to be passed on or already passed on.
+        COMPLETE: A whole answer of the replica, ready to be passed on or already passed on.
         NOT_RUN: The replica said that it did not run the request.
         FAILED: It ran, or may have run, and there is no answer that may be passed on.
-        CUT: Part of the answer has gone to the caller, and the rest will not come.
+        TRUNCATED: Part of the answer has gone to the caller, and the rest will not come.
     """
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     NOT_RUN = "not_run"
     FAILED = "failed"
-    CUT = "cut"
+    TRUNCATED = "cut"
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
         is_broken: Whether the replica closed the connection before its answer was whole.
     """
 
-    result: Result
+    result: AttemptResult
     status: int = 0
     reason: bytes = b""
     headers: Headers | None = None
@@ -63,13 +63,13 @@
     """Receives the answer of one replica; streams are passed on event by event.
 
     Attributes:
-        made_s: Clock when the attempt began.
+        started_at_s: Clock when the attempt began.
         sent_s: Clock when the request was sent; 0 before.
         connection: The connection in use, or None.
-        first_data_s: Clock when the first byte of the body came, or None.
+        first_data_at_s: Clock when the first byte of the body came, or None.
         on_first_data: Called when it has come.
         on_gap: Called with each time between two pieces of the body, and the clock.
-        longest_gap_s: Longest time between two pieces of the body.
+        max_gap_s: Longest time between two pieces of the body.
         relayed_bytes: Bytes of the body that have gone to the caller.
         signals: What the head of the answer said of the replica.
         on_signals: Called with the status and that as the head comes.
@@ -87,7 +87,7 @@
             close_after: Whether the caller's connection ends with this answer.
         """
         self._loop = asyncio.get_running_loop()
-        self.made_s = self._loop.time()
+        self.started_at_s = self._loop.time()
         self.sent_s = 0.0
         self._caller = caller
         self._names = names
@@ -97,8 +97,8 @@
         self.on_gap: Callable[[float, float], None] = lambda _gap_s, _now_s: None
         self.on_signals: Callable[[int, ReplicaSignals], None] = lambda _status, _signals: None
         self.ended: asyncio.Future[AttemptEnd] = self._loop.create_future()
-        self.first_data_s: float | None = None
-        self.longest_gap_s = 0.0
+        self.first_data_at_s: float | None = None
+        self.max_gap_s = 0.0
         self._last_data_s = 0.0
         self.signals = ReplicaSignals()
         self.relayed_bytes = 0
@@ -118,18 +118,18 @@
         return self._relaying
 
     @property
-    def has_answer(self) -> bool:
+    def has_response(self) -> bool:
         """Whether an answer, or its end, has come."""
         # An exchange that is ended from outside cancels what it waited for. That is no answer:
         # taken for one, no replica that said nothing was ever left out.
         return self._status != 0 or (self.ended.done() and not self.ended.cancelled())
 
     @property
-    def was_given_up(self) -> bool:
+    def was_abandoned(self) -> bool:
         """Whether the request was sent and its end was not waited for."""
         return self.sent_s > 0.0 and (not self.ended.done() or self.ended.cancelled())
 
-    # AnswerSink.
+    # ResponseSink.
 
     def on_head(self, status: int, reason: bytes, headers: Headers) -> None:
         """Take in the head of the answer."""
@@ -147,12 +147,12 @@
     def on_data(self, data: bytes) -> None:
         """Take in a piece of the body."""
         now_s = self._loop.time()
-        if self.first_data_s is None:
-            self.first_data_s = now_s
+        if self.first_data_at_s is None:
+            self.first_data_at_s = now_s
             self.on_first_data()
         else:
             gap_s = now_s - self._last_data_s
-            self.longest_gap_s = max(self.longest_gap_s, gap_s)
+            self.max_gap_s = max(self.max_gap_s, gap_s)
             self.on_gap(gap_s, now_s)
         self._last_data_s = now_s
         if self._relaying:
@@ -191,7 +191,7 @@
         if self._relaying:
             if self._chunked:
                 self._caller.write(LAST_CHUNK)
-            self._end(AttemptEnd(Result.WHOLE, self._status, relayed=True))
+            self._end(AttemptEnd(AttemptResult.COMPLETE, self._status, relayed=True))
             return
         self._end(self._judge())
 
@@ -199,15 +199,17 @@
         status, headers = self._status, self._headers
         not_run = find_header(headers, self._names.not_run) is not None or status == 421
         if not_run:
-            return AttemptEnd(Result.NOT_RUN, status, detail=f"status {status}")
+            return AttemptEnd(AttemptResult.NOT_RUN, status, detail=f"status {status}")
         if status in PROMISES or not self._is_sound():
-            return AttemptEnd(Result.FAILED, status, detail=f"unsound answer, status {status}")
+            return AttemptEnd(
+                AttemptResult.FAILED, status, detail=f"unsound answer, status {status}"
+            )
         body = b"".join(self._body)
-        return AttemptEnd(Result.WHOLE, status, self._reason, headers, body)
+        return AttemptEnd(AttemptResult.COMPLETE, status, self._reason, headers, body)
 
     def on_break(self, why: Break) -> None:
         """The answer will not come whole."""
-        result = Result.CUT if self._relaying else Result.FAILED
+        result = AttemptResult.TRUNCATED if self._relaying else AttemptResult.FAILED
         broken = why in (Break.CLOSED, Break.RESET)
         relayed = self._relaying
         self._end(AttemptEnd(result, self._status, relayed=relayed, detail=why, is_broken=broken))
@@ -217,7 +219,7 @@
             self.ended.set_result(end)
 
 
-def encode_whole_answer(end: AttemptEnd, close: bool, is_head_request: bool) -> bytes:
+def encode_complete_response(end: AttemptEnd, close: bool, is_head_request: bool) -> bytes:
     """Encode a replica's whole answer for the caller, unchanged but for its framing."""
     headers = end_to_end_headers(end.headers or [])
     if is_head_request:
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallAnswer:
+class CallResponse:
     """A whole answer."""
 
     status: int
@@ -29,11 +29,11 @@
 
 
 class _Collector:
-    """Collects one answer; implements `AnswerSink`."""
+    """Collects one answer; implements `ResponseSink`."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.ended: asyncio.Future[CallAnswer | None] = loop.create_future()
+        self.ended: asyncio.Future[CallResponse | None] = loop.create_future()
         self._status = 0
         self._headers: Headers = []
         self._body: list[bytes] = []
@@ -46,12 +46,12 @@
         self._body.append(data)
 
     def on_end(self) -> None:
-        self._end(CallAnswer(self._status, self._headers, b"".join(self._body)))
+        self._end(CallResponse(self._status, self._headers, b"".join(self._body)))
 
     def on_break(self, why: Break) -> None:
         self._end(None)
 
-    def _end(self, answer: CallAnswer | None) -> None:
+    def _end(self, answer: CallResponse | None) -> None:
         if not self.ended.done():
             self.ended.set_result(answer)
 
@@ -60,38 +60,40 @@
     """Sends single calls to replicas, and hears what these say of themselves.
 
     Attributes:
-        on_leaving: Receives the ids of lives that said that they leave, with each such answer.
+        on_draining: Receives the ids of lives that said that they leave, with each such answer.
     """
 
     def __init__(self, names: HeaderNames) -> None:
-        self.on_leaving: Callable[[list[str]], None] = lambda _ids: None
+        self.on_draining: Callable[[list[str]], None] = lambda _ids: None
         self._names = names
         self._pool = ConnectionPool(names)
         self._availability: OrderedDict[str, Availability] = OrderedDict()
 
-    def is_resting(self, instance: Instance) -> bool:
+    def is_backing_off(self, instance: Instance) -> bool:
         """Whether a replica asked this process for rest, so that nothing is to be sent there."""
         known = self._availability.get(instance.instance_id)
         return known is not None and known.is_resting(monotonic_s())
 
-    async def call(self, instance: Instance, message: bytes, timeout_s: float) -> CallAnswer | None:
+    async def call(
+        self, instance: Instance, message: bytes, timeout_s: float
+    ) -> CallResponse | None:
         """Send one whole HTTP message and return the answer; None when none came in time.
 
         Nothing is sent to a replica that rests; that, too, brings no answer.
         """
-        if self.is_resting(instance):
+        if self.is_backing_off(instance):
             return None
         answer = await self._exchange(instance, message, timeout_s)
         if answer is not None:
             self._take_signals(instance, answer)
         return answer
 
-    def _take_signals(self, instance: Instance, answer: CallAnswer) -> None:
+    def _take_signals(self, instance: Instance, answer: CallResponse) -> None:
         signals = read_signals(answer.status, answer.headers, self._names, wall_s())
         if signals.rest_s > 0.0:
             self._note_rest(instance, answer.status, signals.rest_s)
         if signals.is_leaving:
-            self.on_leaving([instance.instance_id])
+            self.on_draining([instance.instance_id])
 
     def _note_rest(self, instance: Instance, status: int, rest_s: float) -> None:
         life = instance.instance_id
@@ -104,17 +106,17 @@
 
     async def _exchange(
         self, instance: Instance, message: bytes, timeout_s: float
-    ) -> CallAnswer | None:
+    ) -> CallResponse | None:
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         try:
             connection = await self._pool.acquire(instance, timeout_s)
         except ConnectError:
             return None
         collector = _Collector()
-        answer: CallAnswer | None = None
+        answer: CallResponse | None = None
         try:
             # The connection may have taken a second to come up.
-            if self.is_resting(instance):
+            if self.is_backing_off(instance):
                 return None
             connection.send(message, b"", False, collector)
             async with asyncio.timeout_at(deadline_s):
--- a/src/crowsill/gateway/caller_protocol.py
+++ b/src/crowsill/gateway/caller_protocol.py
@@ -161,7 +161,7 @@
             headers=self._headers,
             body=b"".join(self._body),
             keep_alive=self._parser.should_keep_alive(),
-            arrived_s=self.received_s,
+            arrived_at_s=self.received_s,
         )
         self._reset_message()
         self._waiting.append(interpret(request, self._handler.names))
--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -49,26 +49,26 @@
     def is_stopping(self) -> bool:
         """Whether connections end after their present answer."""
 
-    def hold_limit_s(self) -> float:
+    def wait_limit_at_s(self) -> float:
         """Clock after which no request is held: a process that stops passes callers on."""
 
-    def stop_limit_s(self) -> float:
+    def stop_limit_at_s(self) -> float:
         """Clock at which a process that stops ends what still runs; infinite before."""
 
     def budget(self, service: str) -> SharedBudget:
         """Return the retry budget of a service."""
 
-    def unreachable(self, record: ReplicaRecord) -> None:
+    def on_unreachable(self, record: ReplicaRecord) -> None:
         """No connection could be made: use the replica again only when one can be."""
 
-    def rests(self, record: ReplicaRecord) -> None:
+    def on_backoff(self, record: ReplicaRecord) -> None:
         """A replica asked for rest: look again when that is over."""
 
-    def leaves(self, record: ReplicaRecord) -> None:
+    def on_draining(self, record: ReplicaRecord) -> None:
         """A replica said that it leaves: tell the group until that knows."""
 
-    def limit_changed(self, record: ReplicaRecord) -> None:
+    def on_limit_changed(self, record: ReplicaRecord) -> None:
         """A replica named a limit, another one or none any more: tell the group."""
 
-    async def changed(self, timeout_s: float) -> bool:
+    async def wait_for_change(self, timeout_s: float) -> bool:
         """Wait for a change of the directory or the routes; return whether one came."""
--- a/src/crowsill/gateway/crash_watch.py
+++ b/src/crowsill/gateway/crash_watch.py
@@ -144,7 +144,7 @@
     async def _is_refused(self, instance: Instance) -> bool:
         """Whether its machine says that nobody listens there; silence is no proof."""
         try:
-            connection = await self._pool.open_new(instance, CHECK_TIMEOUT_S)
+            connection = await self._pool.open_connection(instance, CHECK_TIMEOUT_S)
         except ConnectError as error:
             return error.is_refused
         self._pool.release(instance.instance_id, connection, True)
--- a/src/crowsill/gateway/demand.py
+++ b/src/crowsill/gateway/demand.py
@@ -69,4 +69,4 @@
 
     def note_pressed(self, service: str, model: str) -> None:
         """Count a request whose model has too few copies."""
-        self._follower.pressed.add({resource_name(service, model, ""): 1})
+        self._follower.overloaded.add({resource_name(service, model, ""): 1})
--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -10,13 +10,13 @@
 
 from crowsill.errors import ErrorKind
 from crowsill.gateway.admission import Admission, until_monotonic_s
-from crowsill.gateway.attempt import AttemptEnd, Result
+from crowsill.gateway.attempt import AttemptEnd, AttemptResult
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.outcome import Outcome
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.rejection import Refusal
+from crowsill.gateway.rejection import Rejection
 from crowsill.gateway.repeat_guard import RepeatGuard
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
@@ -129,7 +129,7 @@
             if not self._progress.may_have_run:
                 self._admission.not_run()
 
-    def _refuse(self, refusal: Refusal) -> None:
+    def _refuse(self, refusal: Rejection) -> None:
         """Refuse what no replica has run, by what is known."""
         if self._progress.may_have_run:
             self._outcome.refuse(ErrorKind.BACKEND_FAILED, f"not sent again: {refusal.detail}")
@@ -142,16 +142,16 @@
         wait_s = LONGEST_WAIT_FOR_ROUTES_S
         if request.wait_ms is not None:
             wait_s = min(wait_s, request.wait_ms / 1000.0)
-        until_s = min(request.arrived_s + wait_s, context.hold_limit_s())
+        until_s = min(request.arrived_at_s + wait_s, context.wait_limit_at_s())
         while context.table is None and self._loop.time() < until_s:
-            await context.changed(until_s - self._loop.time())
+            await context.wait_for_change(until_s - self._loop.time())
         return context.table
 
     def _deadline_s(self, route: Route) -> float:
         wait_ms = route.timeout_ms
         if self._request.wait_ms is not None:
             wait_ms = min(wait_ms, self._request.wait_ms)
-        return self._request.arrived_s + max(0.0, wait_ms / 1000.0 - ANSWER_MARGIN_S)
+        return self._request.arrived_at_s + max(0.0, wait_ms / 1000.0 - ANSWER_MARGIN_S)
 
     async def _serve(self, route: Route, deadline_s: float) -> None:
         if self._outlasts_process(deadline_s):
@@ -190,7 +190,7 @@
 
     def _outlasts_process(self, deadline_s: float) -> bool:
         """Whether a stream may be cut because this process stops: another gateway serves it."""
-        limit_s = self._context.stop_limit_s()
+        limit_s = self._context.stop_limit_at_s()
         if limit_s == float("inf") or not self._request.model:
             return False
         if deadline_s > limit_s:
@@ -237,12 +237,12 @@
     async def _goes_on_after(self, route: Route, choice: Choice, end: AttemptEnd) -> bool:
         """Whether the request may go to another replica."""
         progress = self._progress
-        if end.result is Result.NOT_RUN:
+        if end.result is AttemptResult.NOT_RUN:
             progress.may_have_run = progress.runs > 0
             progress.last = end.detail
             return True
-        failed_answer = end.result is Result.WHOLE and end.status >= FAILED_STATUS
-        if end.relayed or not (end.result is Result.FAILED or failed_answer):
+        failed_answer = end.result is AttemptResult.COMPLETE and end.status >= FAILED_STATUS
+        if end.relayed or not (end.result is AttemptResult.FAILED or failed_answer):
             return False
         repeatable = route.may_repeat or (route.kind is RouteKind.STREAM and route.resumable)
         if not repeatable or progress.runs >= route.max_attempts:
--- a/src/crowsill/gateway/exchange_log.py
+++ b/src/crowsill/gateway/exchange_log.py
@@ -68,9 +68,9 @@
         return taken_ms > route.target_latency_ms or pauses
 
     def _age_ms(self) -> float:
-        return round((self._loop.time() - self._request.arrived_s) * 1000.0, 1)
+        return round((self._loop.time() - self._request.arrived_at_s) * 1000.0, 1)
 
-    def routed(self, choice: Choice, sending: int, version: int, directory: int) -> None:
+    def log_routed(self, choice: Choice, sending: int, version: int, directory: int) -> None:
         """It goes to a replica."""
         record = choice.record
         now_s = self._loop.time()
@@ -95,7 +95,7 @@
             ms=self._age_ms(),
         )
 
-    def failed(self, record: ReplicaRecord, result: str, detail: str) -> None:
+    def log_attempt_failed(self, record: ReplicaRecord, result: str, detail: str) -> None:
         """A replica did not answer it."""
         log_event(
             Event.ATTEMPT_FAILED,
@@ -108,7 +108,7 @@
             ms=self._age_ms(),
         )
 
-    def rests(self, record: ReplicaRecord, status: int, rest_s: float) -> None:
+    def log_backoff(self, record: ReplicaRecord, status: int, rest_s: float) -> None:
         """Its replica asked for rest, and did not have any."""
         REPLICA_SIGNALS.labels("rest").inc()
         log_event(
@@ -120,7 +120,7 @@
             request=self.request_id,
         )
 
-    def leaves(self, record: ReplicaRecord, status: int) -> None:
+    def log_draining(self, record: ReplicaRecord, status: int) -> None:
         """Its replica said for the first time that it leaves."""
         REPLICA_SIGNALS.labels("leaving").inc()
         log_event(
@@ -131,7 +131,7 @@
             request=self.request_id,
         )
 
-    def limited(self, record: ReplicaRecord, per_s: float) -> None:
+    def log_limited(self, record: ReplicaRecord, per_s: float) -> None:
         """Its replica names a limit, for the first time or another one than before."""
         REPLICA_SIGNALS.labels("limit").inc()
         log_event(
@@ -143,7 +143,7 @@
             request=self.request_id,
         )
 
-    def unlimited(self, record: ReplicaRecord) -> None:
+    def log_unlimited(self, record: ReplicaRecord) -> None:
         """Its replica names no limit any more."""
         log_event(
             Event.REPLICA_UNLIMITED,
@@ -152,12 +152,12 @@
             request=self.request_id,
         )
 
-    def unreadable(self, record: ReplicaRecord, unread: str) -> None:
+    def log_unreadable(self, record: ReplicaRecord, unread: str) -> None:
         """Its replica said something of itself that cannot be read, for the first time."""
         REPLICA_SIGNALS.labels("unreadable").inc()
         log_event(Event.SIGNAL_UNREADABLE, replica=record.instance.instance_id, word=unread)
 
-    def held(self, why: NoChoice, directory: int) -> None:
+    def log_waiting(self, why: NoChoice, directory: int) -> None:
         """It waits."""
         log_event(
             Event.REQUEST_HELD,
@@ -169,13 +169,13 @@
             ms=self._age_ms(),
         )
 
-    def finished(self, status: int, sendings: int, attempt: Attempt | None) -> None:
+    def log_finished(self, status: int, sendings: int, attempt: Attempt | None) -> None:
         """It was answered whole."""
         self._count("answered", attempt)
         first_ms, gap_ms = 0.0, 0.0
-        if attempt is not None and attempt.first_data_s is not None:
-            first_ms = (attempt.first_data_s - self._request.arrived_s) * 1000.0
-            gap_ms = attempt.longest_gap_s * 1000.0
+        if attempt is not None and attempt.first_data_at_s is not None:
+            first_ms = (attempt.first_data_at_s - self._request.arrived_at_s) * 1000.0
+            gap_ms = attempt.max_gap_s * 1000.0
         log_event(
             Event.REQUEST_FINISHED,
             request=self.request_id,
@@ -189,7 +189,7 @@
             ms=self._age_ms(),
         )
 
-    def refused(
+    def log_rejected(
         self,
         kind: str,
         detail: str,
@@ -217,6 +217,6 @@
 
     def _count(self, result: str, attempt: Attempt | None) -> None:
         GATEWAY_REQUESTS.labels(self._kind, result).inc()
-        first_s = None if attempt is None else attempt.first_data_s
+        first_s = None if attempt is None else attempt.first_data_at_s
         if first_s is not None:
-            GATEWAY_FIRST_BYTE_S.labels(self._kind).observe(first_s - self._request.arrived_s)
+            GATEWAY_FIRST_BYTE_S.labels(self._kind).observe(first_s - self._request.arrived_at_s)
--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -82,7 +82,7 @@
         routes_version: Version of the newest routes taken in; it never falls.
         demand: Requests by resource since the last heartbeat.
         urgent: Those of them that have a short target.
-        pressed: Those whose first event took most of their target, or that found no place.
+        overloaded: Those whose first event took most of their target, or that found no place.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self.routes_version = 0
         self.demand = DemandCounter()
         self.urgent = DemandCounter()
-        self.pressed = DemandCounter()
+        self.overloaded = DemandCounter()
         self._local = local
         self._contacts = GroupContacts(seeds, random)
         self._hooks = hooks
@@ -198,7 +198,7 @@
         status = EntryStatus(local.identity, local.node, local.zone, 0, excluded)
         demand = self.demand.collect()
         urgent = self.urgent.collect()
-        pressed = self.pressed.collect()
+        overloaded = self.overloaded.collect()
         in_use = self.book.in_use()
         heartbeat = Heartbeat(
             fleet_epoch=0,
@@ -211,7 +211,7 @@
             directory_version=self.book.version,
             suspects_version=self._guard.version,
             urgent=urgent,
-            pressed=pressed,
+            pressed=overloaded,
             in_use=in_use,
             limits=self.book.limits(monotonic_s()),
         )
@@ -273,7 +273,7 @@
         connection = self._connection
         return connection is not None and connection.push(notice)
 
-    async def ask(
+    async def query(
         self,
         question: GrantRequest | ReplicaGrantRequest | ReportCrash | ClearRequests,
         timeout_s: float,
--- a/src/crowsill/gateway/forwarding.py
+++ b/src/crowsill/gateway/forwarding.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendingTerms:
+class ForwardingTerms:
     """What the gateway tells a replica of a request.
 
     Attributes:
@@ -29,7 +29,7 @@
     tenant: str = ""
 
 
-def encode_forwarded(request: CallerRequest, names: HeaderNames, terms: SendingTerms) -> bytes:
+def encode_forwarded(request: CallerRequest, names: HeaderNames, terms: ForwardingTerms) -> bytes:
     """Return the bytes of a request for one instance.
 
     Args:
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -4,7 +4,7 @@
 """
 
 from crowsill.errors import ErrorKind, Problem
-from crowsill.gateway.attempt import Attempt, AttemptEnd, Result, encode_whole_answer
+from crowsill.gateway.attempt import Attempt, AttemptEnd, AttemptResult, encode_complete_response
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
@@ -41,18 +41,18 @@
 
     def conclude(self, end: AttemptEnd) -> None:
         """Pass on what the last attempt brought."""
-        if end.result is Result.CUT:
+        if end.result is AttemptResult.TRUNCATED:
             self._log_refused("answer_cut", end.detail)
             self._caller.abort()
             return
-        if end.result is Result.FAILED:
+        if end.result is AttemptResult.FAILED:
             self.refuse(ErrorKind.BACKEND_FAILED, f"the replica failed: {end.detail}")
             return
         close = self.closes()
         if not end.relayed:
             is_head = self._request.method == b"HEAD"
-            self._caller.write(encode_whole_answer(end, close, is_head))
-        self._log.finished(end.status, self._progress.sendings, self._progress.attempt)
+            self._caller.write(encode_complete_response(end, close, is_head))
+        self._log.log_finished(end.status, self._progress.sendings, self._progress.attempt)
         self._caller.finish(not close)
 
     def give_up(self, refused: RefusedRequest) -> None:
@@ -112,4 +112,4 @@
         self._caller.finish(not close)
 
     def _log_refused(self, kind: str, detail: str, retry_after_s: float | None = None) -> None:
-        self._log.refused(kind, detail, self._progress, retry_after_s)
+        self._log.log_rejected(kind, detail, self._progress, retry_after_s)
--- a/src/crowsill/gateway/pool.py
+++ b/src/crowsill/gateway/pool.py
@@ -75,11 +75,11 @@
         pool = self._pools.setdefault(instance.instance_id, _InstancePool())
         connection = self._take_idle(pool, self._loop.time())
         if connection is None:
-            return await self.open_new(instance, timeout_s)
+            return await self.open_connection(instance, timeout_s)
         pool.in_use += 1
         return connection
 
-    async def open_new(self, instance: Instance, timeout_s: float) -> ReplicaConnection:
+    async def open_connection(self, instance: Instance, timeout_s: float) -> ReplicaConnection:
         """Return a connection that is made now, whatever idle ones there are.
 
         Raises:
--- a/src/crowsill/gateway/quota.py
+++ b/src/crowsill/gateway/quota.py
@@ -11,7 +11,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.errors import ErrorKind
-from crowsill.gateway.rejection import Refusal
+from crowsill.gateway.rejection import Rejection
 from crowsill.metrics import note_tenant_units
 from crowsill.model.tenants import Tenant
 from crowsill.transport.messages import Body, GrantReply, GrantRequest
@@ -53,7 +53,7 @@
         self._ask = ask
         self._unused: dict[str, list[Charge]] = {}
 
-    async def charge(self, tenant: Tenant, units: float, until_s: float) -> Charge | Refusal:
+    async def charge(self, tenant: Tenant, units: float, until_s: float) -> Charge | Rejection:
         """Have units granted for one request; wait until they may be used.
 
         Args:
@@ -70,7 +70,7 @@
             if asked_s >= until_s:
                 note_tenant_units(tenant.name, "no_leader", units)
                 detail = "nobody could say whether the tenant's rate has room"
-                return Refusal(ErrorKind.NOT_READY, detail, NO_LEADER_RETRY_S)
+                return Rejection(ErrorKind.NOT_READY, detail, NO_LEADER_RETRY_S)
             timeout_s = min(ANSWER_TIMEOUT_S, until_s - asked_s)
             reply = await self._ask(GrantRequest(tenant.name, units), timeout_s)
             if not isinstance(reply, GrantReply):
@@ -79,7 +79,7 @@
             if not reply.is_granted:
                 note_tenant_units(tenant.name, "refused", units)
                 detail = f"the tenant's rate has no room for {units:g} more"
-                return Refusal(ErrorKind.RATE_LIMITED, detail, reply.wait_s)
+                return Rejection(ErrorKind.RATE_LIMITED, detail, reply.wait_s)
             await asyncio.sleep(reply.wait_s)
             # It took effect after it was asked for, so it is good for at least as long as this.
             good_until_s = asked_s + reply.wait_s + reply.lifetime_s
--- a/src/crowsill/gateway/rejection.py
+++ b/src/crowsill/gateway/rejection.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class Rejection:
     """One error of the closed list, on its way to a caller.
 
     Attributes:
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from crowsill.errors import ErrorKind
-from crowsill.gateway.attempt import AttemptEnd, Result
+from crowsill.gateway.attempt import AttemptEnd, AttemptResult
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.rejection import Refusal
+from crowsill.gateway.rejection import Rejection
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.instances import Instance
@@ -22,7 +22,7 @@
 REMEMBERED_BODY_BYTES = 1024
 COPY_POLL_S = 0.05
 COPY_RETRY_S = 1.0
-_COPY_UNDER_WAY = Refusal(
+_COPY_UNDER_WAY = Rejection(
     ErrorKind.OVERLOADED,
     "the same request is under way, and a replica ended while it ran before",
     COPY_RETRY_S,
@@ -46,16 +46,16 @@
             self._known = self._log.fingerprint
         return self._known
 
-    def quarantine(self) -> Refusal | None:
+    def quarantine(self) -> Rejection | None:
         """Return why the request may be sent to no replica, or None."""
         guard = self._context.crash_guard
         if not guard.has_suspects or not guard.is_quarantined(self._fingerprint):
             return None
         # The fingerprint leads from here to the lines that tell why, and to the lifting of it.
         detail = f"replicas ended while they ran it; fingerprint {self._fingerprint.hex()}"
-        return Refusal(ErrorKind.QUARANTINED, detail, QUARANTINE_RETRY_S)
+        return Rejection(ErrorKind.QUARANTINED, detail, QUARANTINE_RETRY_S)
 
-    async def admit_copy(self) -> Refusal | None:
+    async def admit_copy(self) -> Rejection | None:
         """Wait while another sending of a suspect is under way here; return why not to send it.
 
         Before the count is known everywhere, copies sent side by side would end a replica each.
@@ -69,7 +69,7 @@
         ):
             if self._loop.time() >= until_s or self._context.is_stopping():
                 return _COPY_UNDER_WAY
-            await self._context.changed(COPY_POLL_S)
+            await self._context.wait_for_change(COPY_POLL_S)
         return self.quarantine()
 
     def begin(self) -> bool:
@@ -92,7 +92,7 @@
         if end.is_broken:
             watch.note_break(instance, self._suspect(sent_s))
             return
-        is_good = end.result is Result.WHOLE and end.status < FAILED_STATUS
+        is_good = end.result is AttemptResult.COMPLETE and end.status < FAILED_STATUS
         is_small = len(self._request.body) <= REMEMBERED_BODY_BYTES
         if is_good and (guard.has_suspects or is_small):
             watch.note_success(self._fingerprint)
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -28,7 +28,7 @@
     SILENT = "silent"
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Receives one answer."""
 
     def on_head(self, status: int, reason: bytes, headers: Headers) -> None:
@@ -58,7 +58,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._sink: AnswerSink | None = None
+        self._sink: ResponseSink | None = None
         self._request_id = b""
         self._is_head_request = False
         self._ends_with_connection = False
@@ -117,7 +117,7 @@
     # Sending.
 
     def send(
-        self, message: bytes, request_id: bytes, is_head_request: bool, sink: AnswerSink
+        self, message: bytes, request_id: bytes, is_head_request: bool, sink: ResponseSink
     ) -> None:
         """Send a request; its answer goes to `sink`."""
         self._sink = sink
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from crowsill.gateway.attempt import Attempt, AttemptEnd, Result
+from crowsill.gateway.attempt import Attempt, AttemptEnd, AttemptResult
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.progress import Progress
@@ -44,18 +44,18 @@
         now_s = self._loop.time()
         if signals.unread and not record.availability.was_unreadable:
             record.availability.was_unreadable = True
-            self._log.unreadable(record, signals.unread)
+            self._log.log_unreadable(record, signals.unread)
         if signals.rest_s > 0.0 and record.availability.note_rest(
             signals.rest_s, now_s, record.in_flight
         ):
-            self._log.rests(record, status, signals.rest_s)
-            self._context.rests(record)
+            self._log.log_backoff(record, status, signals.rest_s)
+            self._context.on_backoff(record)
         self._take_limit(record, sent_s, signals)
         if status not in REST_STATUSES:
             record.availability.note_taken(sent_s)
         if signals.is_leaving and record.note_leaving(now_s):
-            self._log.leaves(record, status)
-            self._context.leaves(record)
+            self._log.log_draining(record, status)
+            self._context.on_draining(record)
 
     def _take_limit(self, record: ReplicaRecord, sent_s: float, signals: ReplicaSignals) -> None:
         """Take in the limit that the head of an answer names, or that it names none."""
@@ -63,28 +63,28 @@
         if signals.limit_per_s is not None:
             if not availability.note_limit(signals.limit_per_s, self._loop.time()):
                 return
-            self._log.limited(record, signals.limit_per_s)
+            self._log.log_limited(record, signals.limit_per_s)
         elif signals.names_limit or not availability.limit.note_unnamed(sent_s):
             return
         else:
-            self._log.unlimited(record)
-        self._context.limit_changed(record)
+            self._log.log_unlimited(record)
+        self._context.on_limit_changed(record)
 
     def notice_silence(self, record: ReplicaRecord, attempt: Attempt) -> None:
         """A replica that said nothing for long may be gone without a word."""
-        if attempt.has_answer or attempt.connection is None:
+        if attempt.has_response or attempt.connection is None:
             return
-        if self._loop.time() - attempt.made_s < SILENCE_S:
+        if self._loop.time() - attempt.started_at_s < SILENCE_S:
             return
         record.note_break(self._loop.time())
-        self._context.unreachable(record)
-        self._log.failed(record, "silent", "no answer")
+        self._context.on_unreachable(record)
+        self._log.log_attempt_failed(record, "silent", "no answer")
 
     def note_pressure(self, route: Route, attempt: Attempt, sent_s: float) -> None:
         """Tell placement of a first event that took most of its target."""
-        if not self._request.model or attempt.first_data_s is None:
+        if not self._request.model or attempt.first_data_at_s is None:
             return
-        taken_ms = (attempt.first_data_s - sent_s) * 1000.0
+        taken_ms = (attempt.first_data_at_s - sent_s) * 1000.0
         if taken_ms > route.target_latency_ms * PRESSED_SHARE:
             self._context.demand.note_pressed(self._log.service, self._request.model)
 
@@ -95,7 +95,7 @@
         GATEWAY_ATTEMPTS.labels(end.result).inc()
         if attempt.signals.load is not None:
             record.note_load(attempt.signals.load, now_s)
-        if end.result is Result.NOT_RUN:
+        if end.result is AttemptResult.NOT_RUN:
             if end.status == 421 and request.model:
                 record.availability.note_lacking(request.resource)
             elif end.status in REST_STATUSES and not attempt.signals.rest_s:
@@ -103,9 +103,9 @@
                 record.note_error_answer()
             return
         self._progress.runs += 1
-        if end.result is not Result.WHOLE:
+        if end.result is not AttemptResult.COMPLETE:
             record.note_break(now_s)
-            self._log.failed(record, end.result, end.detail)
+            self._log.log_attempt_failed(record, end.result, end.detail)
             return
         if end.status >= FAILED_STATUS:
             record.note_error_answer()
@@ -113,7 +113,7 @@
         record.note_success()
         for key in part_keys(request):
             record.remember_part(key)
-        first_s = now_s if attempt.first_data_s is None else attempt.first_data_s
+        first_s = now_s if attempt.first_data_at_s is None else attempt.first_data_at_s
         taken_s = first_s - sent_s
         if request.model:
             unread = max(0, request.prompt_tokens - choice.known_tokens)
--- a/src/crowsill/gateway/request.py
+++ b/src/crowsill/gateway/request.py
@@ -23,7 +23,7 @@
         headers: All headers as sent.
         body: The whole body.
         keep_alive: Whether the caller's connection may be used again.
-        arrived_s: Clock when the last byte was read.
+        arrived_at_s: Clock when the last byte was read.
         host: `Host` without a port, lower-case.
         path: Path without the query.
         request_id: The caller's id of this request; empty when there is none.
@@ -40,7 +40,7 @@
     headers: Headers
     body: bytes
     keep_alive: bool
-    arrived_s: float
+    arrived_at_s: float
     host: str = ""
     path: str = "/"
     request_id: bytes = b""
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -107,8 +107,8 @@
             hooks=hooks,
             random=self.random,
         )
-        self.grants = GrantClient(self._follower.ask)
-        self.replica_grants = ReplicaGrants(self._follower.ask, self._wake)
+        self.grants = GrantClient(self._follower.query)
+        self.replica_grants = ReplicaGrants(self._follower.query, self._wake)
         self.demand = DemandReporter(self._follower, gateway.keep_asking_s)
 
     async def start(self) -> None:
@@ -116,7 +116,7 @@
         loop = asyncio.get_running_loop()
         self.pool = ConnectionPool(self.names)
         self.crash_watch = CrashWatch(
-            self.pool, self.crash_guard, self._follower.ask, self._on_ended
+            self.pool, self.crash_guard, self._follower.query, self._on_ended
         )
         self._watch = ReplicaWatch(self.book, self.pool, self._follower.send_notice, self._wake)
         listen = self._settings.callers
@@ -188,7 +188,7 @@
     def _on_ended(self, instance_id: str) -> None:
         record = self.book.find(instance_id)
         if record is not None:
-            self.unreachable(record)
+            self.on_unreachable(record)
 
     def _on_current(self, gateways: int, proved_s: float) -> None:
         self._proved_s = proved_s
@@ -231,26 +231,26 @@
             found = self._budgets[service] = SharedBudget(limits)
         return found
 
-    def unreachable(self, record: ReplicaRecord) -> None:
+    def on_unreachable(self, record: ReplicaRecord) -> None:
         """Leave a replica out until a connection to it can be made, and say so to the group."""
         self._watch.unreachable(record)
 
-    def rests(self, record: ReplicaRecord) -> None:
+    def on_backoff(self, record: ReplicaRecord) -> None:
         """Look at a replica again when its rest is over."""
         self._watch.rests(record)
 
-    def leaves(self, record: ReplicaRecord) -> None:
+    def on_draining(self, record: ReplicaRecord) -> None:
         """Have a replica that said that it leaves treated as draining, here and by the group."""
         self._on_directory([record.instance.instance_id])
         self._watch.leaves(record)
 
-    def limit_changed(self, record: ReplicaRecord) -> None:
+    def on_limit_changed(self, record: ReplicaRecord) -> None:
         """Tell the group at once what a replica names; heartbeats tell it again."""
         now_s = asyncio.get_running_loop().time()
         word = record.availability.limit.told(record.instance.instance_id, now_s)
         self._follower.send_notice(ReplicaLimitsNotice([word]))
 
-    async def changed(self, timeout_s: float) -> bool:
+    async def wait_for_change(self, timeout_s: float) -> bool:
         """Wait for a change of the directory or the routes."""
         # Not `wait_for`: it loses a cancellation that meets a change, and the request of a caller
         # that left would go on.
@@ -271,11 +271,11 @@
         """Whether connections end after their present answer."""
         return self._stopping
 
-    def hold_limit_s(self) -> float:
+    def wait_limit_at_s(self) -> float:
         """Return the clock after which no request is held."""
         return self._hold_limit_s
 
-    def stop_limit_s(self) -> float:
+    def stop_limit_at_s(self) -> float:
         """Return the clock at which what still runs is ended."""
         return self._stop_limit_s
 
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -4,11 +4,11 @@
 import functools
 
 from crowsill.gateway.admission import Admission
-from crowsill.gateway.attempt import Attempt, AttemptEnd, Result
+from crowsill.gateway.attempt import Attempt, AttemptEnd, AttemptResult
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.forwarding import SendingTerms, encode_forwarded
+from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded
 from crowsill.gateway.pool import ConnectError
 from crowsill.gateway.progress import PendingPrompt, Progress, Trial
 from crowsill.gateway.repeat_guard import RepeatGuard
@@ -96,7 +96,7 @@
                 return None
             sent_s = self._transmit(route, record, attempt, connection, deadline_s)
             end = await attempt.ended
-            reusable = end.result in (Result.WHOLE, Result.NOT_RUN)
+            reusable = end.result in (AttemptResult.COMPLETE, AttemptResult.NOT_RUN)
             self._feedback.learn(choice, attempt, end, sent_s)
             self._repeats.learn(record.instance, end, sent_s)
             self._feedback.note_pressure(route, attempt, sent_s)
@@ -105,10 +105,10 @@
             record.note_break(self._loop.time())
             if error.is_refused:
                 context.crash_watch.note_refused(record.instance)
-            context.unreachable(record)
+            context.on_unreachable(record)
             GATEWAY_ATTEMPTS.labels("unreachable").inc()
             self._progress.last = f"connect: {error}"
-            self._log.failed(record, "unreachable", str(error))
+            self._log.log_attempt_failed(record, "unreachable", str(error))
             return None
         finally:
             record.in_flight -= 1
@@ -122,7 +122,7 @@
         """Log that the request goes to a replica, and by which routes and directory."""
         context = self._context
         version = 0 if context.table is None else context.table.version
-        self._log.routed(choice, self._progress.sendings + 1, version, context.book.version)
+        self._log.log_routed(choice, self._progress.sendings + 1, version, context.book.version)
 
     async def _granted_until_s(self, route: Route, record: ReplicaRecord) -> float | None:
         """Return until when the request may be sent to a replica; None if it may not now.
@@ -204,12 +204,12 @@
         if attempt is None:
             return
         self._feedback.notice_silence(record, attempt)
-        if attempt.connection is not None and attempt.was_given_up:
+        if attempt.connection is not None and attempt.was_abandoned:
             self._repeats.abandon(record.instance, attempt.sent_s)
         attempt.connection = None
 
-    def _terms(self, route: Route, replica: str, left_s: float) -> SendingTerms:
+    def _terms(self, route: Route, replica: str, left_s: float) -> ForwardingTerms:
         admission = self._admission
         tenant = "" if admission.tenant is None else admission.tenant.name
         rank = admission.rank(route)
-        return SendingTerms(replica, rank, left_s, admission.is_keyed, tenant)
+        return ForwardingTerms(replica, rank, left_s, admission.is_keyed, tenant)
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -77,17 +77,17 @@
             self._context.demand.note_pressed(self._log.service, request.model)
         if why is NoChoice.NO_MODEL and self._weights() is not None:
             self._context.demand.ask_for(self._log.service, request.model, request.adapter)
-        left_s = self._context.hold_limit_s() - self._loop.time()
+        left_s = self._context.wait_limit_at_s() - self._loop.time()
         if left_s <= 0.0 or not waits(self._estimate(why), self._wait_budget(), self._answer_s()):
             return False
         if self._progress.held_for is not why:
             self._progress.held_for = why
-            self._log.held(why, self._context.book.version)
+            self._log.log_waiting(why, self._context.book.version)
         # The control group forgets what is not asked for again.
         poll_s = HOLD_POLL_S if why is NoChoice.ALL_FULL else ASK_AGAIN_S
         if why is NoChoice.ALL_CLOSED:
             return await self._wait_to_open(min(left_s, poll_s))
-        await self._context.changed(min(left_s, poll_s))
+        await self._context.wait_for_change(min(left_s, poll_s))
         return True
 
     async def _wait_to_open(self, time_s: float) -> bool:
@@ -105,7 +105,7 @@
             return False
         waiting[place] += 1
         try:
-            await self._context.changed(time_s)
+            await self._context.wait_for_change(time_s)
         finally:
             waiting[place] -= 1
             if not waiting[place]:
@@ -150,14 +150,14 @@
 
     def _wait_budget(self) -> WaitBudget:
         request, route = self._request, self._route
-        waited_s = self._loop.time() - request.arrived_s
+        waited_s = self._loop.time() - request.arrived_at_s
         return wait_budget_of(route, request.wait_ms, waited_s)
 
     def _estimate(self, why: NoChoice) -> WaitEstimate:
         """When a replica may take the request."""
         request, now_s = self._request, self._loop.time()
         records = self._context.book.of_service(self._log.service)
-        waited_s = now_s - request.arrived_s
+        waited_s = now_s - request.arrived_at_s
         return estimate_wait(
             why,
             request,
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -24,7 +24,7 @@
         "headers": [(b"Host", b"h")],
         "body": b"body",
         "keep_alive": True,
-        "arrived_s": 1.0,
+        "arrived_at_s": 1.0,
         "host": "h",
     }
     return CallerRequest(**{**values, **changes})
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -46,7 +46,7 @@
 
             async def hold():
                 while True:
-                    await here.role.changed(5.0)
+                    await here.role.wait_for_change(5.0)
 
             task = asyncio.create_task(hold())
             return await ends_when_cancelled(task, here.role._wake, steps)
--- a/tests/test_counted_ends.py
+++ b/tests/test_counted_ends.py
@@ -24,7 +24,7 @@
 
 async def _report(gateway, life):
     while not isinstance(
-        await gateway.follower.ask(ReportCrash(life, [CULPRIT], 0.0), 0.8), Submitted
+        await gateway.follower.query(ReportCrash(life, [CULPRIT], 0.0), 0.8), Submitted
     ):
         await asyncio.sleep(0.05)
 
@@ -102,7 +102,7 @@
         await _report_all(*gateways)
         await _known(*gateways)
         cleared = ClearRequests([CULPRIT.fingerprint])
-        assert isinstance(await gateways[0].follower.ask(cleared, 0.8), Submitted)
+        assert isinstance(await gateways[0].follower.query(cleared, 0.8), Submitted)
         await until(lambda: not any(gateway.guard.has_suspects for gateway in gateways))
 
     run(_play(tmp_path, story))
--- a/tests/test_engine_signals.py
+++ b/tests/test_engine_signals.py
@@ -71,7 +71,7 @@
         engine, instance = await _engine(plain("202 Accepted", "Server-Leaving: 1"))
         heard = []
         calls = PlatformEngineCalls()
-        calls.on_leaving = heard.extend
+        calls.on_draining = heard.extend
         assert await calls.order(instance, ORDER) is OrderAnswer.ACCEPTED
         await calls.report(instance)
         assert heard == ["a@1", "a@1"]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -34,7 +34,7 @@
         {"wait_ms": 10.0},
         {"headers": [(b"X", b"1"), (b"HOST", b"h")]},
         {"keep_alive": False},
-        {"arrived_s": 99.0},
+        {"arrived_at_s": 99.0},
     ],
 )
 def test_what_changes_from_one_sending_to_the_next_is_not_part_of_it(changes):
