--- a/src/crowsill/control/placers.py
+++ b/src/crowsill/control/placers.py
@@ -1,4 +1,4 @@
-"""Makes what places models while a member leads, out of its settings and its other parts."""
+"""Wires the placers of a leading member from its settings and its other parts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from crowsill.clock import monotonic_s
 from crowsill.control.driver import ConsensusDriver
 from crowsill.control.engine_jobs import EngineJobPorts
-from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, StoreLimits
+from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, WeightStoreLimits
 from crowsill.control.placement_controller import PlacementController, PlacementPorts
 from crowsill.control.service import MemberService
 from crowsill.model.fleet import FleetView
@@ -22,11 +22,11 @@
     """The parts of a member that leads.
 
     Attributes:
-        node: Its name, the holder of its orders.
+        node: Its name, sent with its orders as the holder.
         control: Its settings.
-        service: What it answers to other processes.
+        service: Handles requests of other processes.
         driver: Its consensus driver.
-        routes: The routes in force there.
+        routes: Returns the active routes.
     """
 
     node: str
@@ -36,8 +36,8 @@
     routes: Callable[[], RouteConfiguration | None]
 
 
-def registered_placer(member: LeadingMember, calls: EngineCalls) -> ModelPlacer:
-    """Return what places models on engines that registered themselves."""
+def make_registered_placer(member: LeadingMember, calls: EngineCalls) -> ModelPlacer:
+    """Return the placer for engines that register themselves."""
     control, service, driver = member.control, member.service, member.driver
     started_s = monotonic_s()
     engines = EngineJobPorts(
@@ -45,20 +45,20 @@
         calls=calls,
         submit=driver.submit,
         has_lease=driver.has_lease,
-        is_lost=lambda instance_id: service.sight.is_lost(instance_id, started_s),
+        is_lost=lambda instance_id: service.liveness.is_lost(instance_id, started_s),
     )
     ports = ModelPlacerPorts(
         engines=engines,
         routes=member.routes,
         collect_demand=service.reports.demand.collect,
         collect_urgent=service.reports.urgent.collect,
-        collect_pressed=service.reports.pressed.collect,
+        collect_overloaded=service.reports.pressed.collect,
         heartbeat_s=control.replica_heartbeat_s,
         limit_of=service.reports.replica_grants.limit_of,
     )
     return ModelPlacer(
         ports,
-        StoreLimits(control.store_window_s, control.store_burst),
+        WeightStoreLimits(control.store_window_s, control.store_burst),
         member.node,
         driver.node.term,
         0.0 if control.replicas_check_fences else control.order_lease_s,
@@ -66,10 +66,10 @@
     )
 
 
-def polled_placer(
+def make_polled_placer(
     member: LeadingMember, engines: EnginePort, fleet: FleetView
 ) -> PlacementController:
-    """Return what places models on the polled back ends."""
+    """Return the placer for polled back ends."""
     control, driver = member.control, member.driver
     ports = PlacementPorts(
         machine=driver.machine,
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -8,7 +8,7 @@
 from crowsill.clock import monotonic_s, wall_s
 from crowsill.events import Event
 from crowsill.gateway.availability import Availability
-from crowsill.gateway.dialect import HeaderNames, Headers
+from crowsill.gateway.headers import HeaderNames, Headers
 from crowsill.gateway.pool import ConnectError, ConnectionPool
 from crowsill.gateway.replica_connection import Break
 from crowsill.gateway.replica_signals import read_signals
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallAnswer:
+class CallResponse:
     """A whole answer."""
 
     status: int
@@ -29,11 +29,11 @@
 
 
 class _Collector:
-    """Collects one answer; implements `AnswerSink`."""
+    """Collects one answer; implements `ResponseSink`."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.ended: asyncio.Future[CallAnswer | None] = loop.create_future()
+        self.ended: asyncio.Future[CallResponse | None] = loop.create_future()
         self._status = 0
         self._headers: Headers = []
         self._body: list[bytes] = []
@@ -46,12 +46,12 @@
         self._body.append(data)
 
     def on_end(self) -> None:
-        self._end(CallAnswer(self._status, self._headers, b"".join(self._body)))
+        self._end(CallResponse(self._status, self._headers, b"".join(self._body)))
 
     def on_break(self, why: Break) -> None:
         self._end(None)
 
-    def _end(self, answer: CallAnswer | None) -> None:
+    def _end(self, answer: CallResponse | None) -> None:
         if not self.ended.done():
             self.ended.set_result(answer)
 
@@ -60,11 +60,11 @@
     """Sends single calls to replicas, and hears what these say of themselves.
 
     Attributes:
-        on_leaving: Receives the ids of lives that said that they leave, with each such answer.
+        on_draining: Receives the ids of lives that said that they leave, with each such answer.
     """
 
     def __init__(self, names: HeaderNames) -> None:
-        self.on_leaving: Callable[[list[str]], None] = lambda _ids: None
+        self.on_draining: Callable[[list[str]], None] = lambda _ids: None
         self._names = names
         self._pool = ConnectionPool(names)
         self._availability: OrderedDict[str, Availability] = OrderedDict()
@@ -74,7 +74,9 @@
         known = self._availability.get(instance.instance_id)
         return known is not None and known.is_backing_off(monotonic_s())
 
-    async def call(self, instance: Instance, message: bytes, timeout_s: float) -> CallAnswer | None:
+    async def call(
+        self, instance: Instance, message: bytes, timeout_s: float
+    ) -> CallResponse | None:
         """Send one whole HTTP message and return the answer; None when none came in time.
 
         Nothing is sent to a replica that rests; that, too, brings no answer.
@@ -86,12 +88,12 @@
             self._take_signals(instance, answer)
         return answer
 
-    def _take_signals(self, instance: Instance, answer: CallAnswer) -> None:
+    def _take_signals(self, instance: Instance, answer: CallResponse) -> None:
         signals = read_signals(answer.status, answer.headers, self._names, wall_s())
         if signals.backoff_s > 0.0:
             self._note_rest(instance, answer.status, signals.backoff_s)
         if signals.is_draining:
-            self.on_leaving([instance.instance_id])
+            self.on_draining([instance.instance_id])
 
     def _note_rest(self, instance: Instance, status: int, rest_s: float) -> None:
         life = instance.instance_id
@@ -104,14 +106,14 @@
 
     async def _exchange(
         self, instance: Instance, message: bytes, timeout_s: float
-    ) -> CallAnswer | None:
+    ) -> CallResponse | None:
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         try:
             connection = await self._pool.acquire(instance, timeout_s)
         except ConnectError:
             return None
         collector = _Collector()
-        answer: CallAnswer | None = None
+        answer: CallResponse | None = None
         try:
             # The connection may have taken a second to come up.
             if self.is_backing_off(instance):
--- a/src/crowsill/gateway/caller_protocol.py
+++ b/src/crowsill/gateway/caller_protocol.py
@@ -10,9 +10,9 @@
 import httptools
 
 from crowsill.errors import ErrorKind, Problem
-from crowsill.gateway.answer import encode_problem
-from crowsill.gateway.dialect import HeaderNames, Headers, find_header
+from crowsill.gateway.headers import HeaderNames, Headers, find_header
 from crowsill.gateway.request import CallerRequest, interpret
+from crowsill.gateway.response import encode_problem
 from crowsill.model.routes import CallerLimits
 
 
@@ -161,7 +161,7 @@
             headers=self._headers,
             body=b"".join(self._body),
             keep_alive=self._parser.should_keep_alive(),
-            arrived_s=self.received_s,
+            arrived_at_s=self.received_s,
         )
         self._reset_message()
         self._waiting.append(interpret(request, self._handler.names))
--- a/src/crowsill/gateway/forwarded.py
+++ b/src/crowsill/gateway/forwarding.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from crowsill.gateway.dialect import HeaderNames, end_to_end_headers
+from crowsill.gateway.headers import HeaderNames, end_to_end_headers
 from crowsill.gateway.request import CallerRequest
 
 MOST_PATIENT_RANK = 9
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendingTerms:
+class ForwardingTerms:
     """What the gateway tells a replica of a request.
 
     Attributes:
@@ -29,7 +29,7 @@
     tenant: str = ""
 
 
-def encode_forwarded(request: CallerRequest, names: HeaderNames, terms: SendingTerms) -> bytes:
+def encode_forwarded(request: CallerRequest, names: HeaderNames, terms: ForwardingTerms) -> bytes:
     """Return the bytes of a request for one instance.
 
     Args:
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -77,19 +77,19 @@
             self._context.demand.note_pressed(self._log.service, request.model)
         if reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
             self._context.demand.ask_for(self._log.service, request.model, request.adapter)
-        remaining_s = self._context.hold_limit_s() - self._loop.time()
+        remaining_s = self._context.wait_limit_at_s() - self._loop.time()
         if remaining_s <= 0.0 or not waits(
             self._estimate(reason), self._wait_budget(), self._answer_s()
         ):
             return False
         if self._progress.held_for is not reason:
             self._progress.held_for = reason
-            self._log.held(reason, self._context.registry.version)
+            self._log.log_waiting(reason, self._context.registry.version)
         # The control group forgets what is not asked for again.
         poll_s = HOLD_POLL_S if reason is NoReplicaReason.ALL_FULL else ASK_AGAIN_S
         if reason is NoReplicaReason.ALL_CLOSED:
             return await self._wait_to_open(min(remaining_s, poll_s))
-        await self._context.changed(min(remaining_s, poll_s))
+        await self._context.wait_for_change(min(remaining_s, poll_s))
         return True
 
     async def _wait_to_open(self, time_s: float) -> bool:
@@ -107,7 +107,7 @@
             return False
         waiting[place] += 1
         try:
-            await self._context.changed(time_s)
+            await self._context.wait_for_change(time_s)
         finally:
             waiting[place] -= 1
             if not waiting[place]:
@@ -152,14 +152,14 @@
 
     def _wait_budget(self) -> WaitBudget:
         request, route = self._request, self._route
-        waited_s = self._loop.time() - request.arrived_s
+        waited_s = self._loop.time() - request.arrived_at_s
         return wait_budget_of(route, request.wait_ms, waited_s)
 
     def _estimate(self, reason: NoReplicaReason) -> WaitEstimate:
         """When a replica may take the request."""
         request, now_s = self._request, self._loop.time()
         records = self._context.registry.of_service(self._log.service)
-        waited_s = now_s - request.arrived_s
+        waited_s = now_s - request.arrived_at_s
         return estimate_wait(
             reason,
             request,
