--- a/src/crowsill/gateway/admission.py
+++ b/src/crowsill/gateway/admission.py
@@ -15,14 +15,14 @@
 
 # A gateway that has just thawed, or whose member was lost, is told what is current within such a
 # time: one reply to a heartbeat (0.8 s at most), or a new stream.
-LONGEST_WAIT_S = 0.8
+MAX_FRESHNESS_WAIT_S = 0.8
 POLL_S = 0.1
-NOT_CURRENT_RETRY_S = 0.5
+STALE_RETRY_AFTER_S = 0.5
 _UNKNOWN_KEY = Rejection(ErrorKind.UNAUTHENTICATED, "a known key is required")
-_NOT_CURRENT = Rejection(
+_STALE = Rejection(
     ErrorKind.NOT_READY,
     "this gateway cannot prove that it knows the keys in force",
-    NOT_CURRENT_RETRY_S,
+    STALE_RETRY_AFTER_S,
 )
 
 
@@ -30,13 +30,13 @@
     """Identity and charge of one request.
 
     Attributes:
-        is_keyed: Whether keys are asked for at all, so that they go no further than here.
+        requires_key: Whether keys are asked for at all, so that they go no further than here.
         tenant: Whose request it is; None without tenants, and for callers without a key.
         units: What it counts to the tenant's rate; 0 where that is not limited.
     """
 
     def __init__(self, context: ExchangeContext, request: CallerRequest) -> None:
-        self.is_keyed = False
+        self.requires_key = False
         self.tenant: Tenant | None = None
         self.units = 0.0
         self._context = context
@@ -50,28 +50,28 @@
             return route.rank
         return self.tenant.rank
 
-    async def admit(self, route: Route, until_s: float) -> Rejection | None:
+    async def admit(self, route: Route, deadline_at_s: float) -> Rejection | None:
         """Decide whether the request may run; return why not, or None.
 
         Args:
             route: Its route.
-            until_s: Clock (`monotonic_s`) after which the caller has no use for an answer.
+            deadline_at_s: Clock (`monotonic_s`) after which the caller has no use for an answer.
         """
         self._is_public = route.public
-        waits_until_s = min(until_s, monotonic_s() + LONGEST_WAIT_S)
+        wait_ends_at_s = min(deadline_at_s, monotonic_s() + MAX_FRESHNESS_WAIT_S)
         refusal = self.recheck()
-        while refusal is _NOT_CURRENT and monotonic_s() < waits_until_s:
+        while refusal is _STALE and monotonic_s() < wait_ends_at_s:
             await self._context.wait_for_change(POLL_S)
             refusal = self.recheck()
         if refusal is not None:
             return refusal
-        return await self._charge_units(until_s)
+        return await self._charge_units(deadline_at_s)
 
     def recheck(self) -> Rejection | None:
         """Look again whether the caller's key is in force; nothing may be awaited before a send."""
         table = self._context.table
         directory = None if table is None else table.tenants
-        self.is_keyed = directory is not None
+        self.requires_key = directory is not None
         if directory is None:
             self.tenant = None
             return None
@@ -84,32 +84,32 @@
         if isinstance(found, Principal):
             self.tenant = found.tenant
             return None
-        return _UNKNOWN_KEY if found is Doubt.UNKNOWN_KEY else _NOT_CURRENT
+        return _UNKNOWN_KEY if found is Doubt.UNKNOWN_KEY else _STALE
 
-    async def charge_again(self, until_s: float) -> Rejection | None:
+    async def charge_again(self, deadline_at_s: float) -> Rejection | None:
         """Have units granted for a further run, because a replica may have run the request."""
         self._charge = None
-        return await self._charge_units(until_s)
+        return await self._charge_units(deadline_at_s)
 
-    async def _charge_units(self, until_s: float) -> Rejection | None:
+    async def _charge_units(self, deadline_at_s: float) -> Rejection | None:
         tenant = self.tenant
         # A request on a public route counts to nobody: whoever shows no key may send it, too.
         if tenant is None or not tenant.is_limited or self._is_public:
             return None
         self.units = tenant.cost(self._request.prompt_tokens + self._request.output_tokens)
-        charged = await self._context.grants.charge(tenant, self.units, until_s)
+        charged = await self._context.grants.charge(tenant, self.units, deadline_at_s)
         if isinstance(charged, Rejection):
             return charged
         self._charge = charged
         return None
 
-    def not_run(self) -> None:
+    def return_units(self) -> None:
         """No replica ran the request: its units serve the tenant's next one."""
         charge, self._charge = self._charge, None
         if charge is not None:
-            self._context.grants.give_back(charge)
+            self._context.grants.return_units(charge)
 
 
-def until_monotonic_s(loop_deadline_s: float) -> float:
+def to_monotonic_at_s(loop_deadline_s: float) -> float:
     """Return a deadline of the event loop on the clock that also counts a freeze."""
     return monotonic_s() + loop_deadline_s - asyncio.get_running_loop().time()
--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from crowsill.errors import ErrorKind
-from crowsill.gateway.admission import Admission, until_monotonic_s
+from crowsill.gateway.admission import Admission, to_monotonic_at_s
 from crowsill.gateway.attempt import AttemptEnd, AttemptResult
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
@@ -18,7 +18,7 @@
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.rejection import Rejection
 from crowsill.gateway.repeat_guard import RepeatGuard
-from crowsill.gateway.replica_feedback import FAILED_STATUS
+from crowsill.gateway.replica_feedback import MIN_SERVER_ERROR_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import GatewayRoutingTable, is_urgent, pick_service
 from crowsill.gateway.selection import (
@@ -28,7 +28,7 @@
     choose,
 )
 from crowsill.gateway.sender import Sender
-from crowsill.gateway.waiting import STOPPING_RETRY_S, WaitingRequest
+from crowsill.gateway.waiting import STOPPING_RETRY_AFTER_S, WaitingRequest
 from crowsill.model.routes import Route, RouteKind
 
 ANSWER_MARGIN_S = 0.02
@@ -99,13 +99,13 @@
             self._outcome.refuse(ErrorKind.UNKNOWN_ROUTE, "no route matches host and path")
             return
         deadline_s = self._deadline_s(route)
-        refusal = await self._admission.admit(route, until_monotonic_s(deadline_s))
+        refusal = await self._admission.admit(route, to_monotonic_at_s(deadline_s))
         self._log.tenant = "" if self._admission.tenant is None else self._admission.tenant.name
         self._log.units = self._admission.units
         # Before it counts as demand: what is held back must not bring its model to further engines.
         refusal = refusal or self._repeats.quarantine()
         if refusal is not None:
-            self._admission.not_run()
+            self._admission.return_units()
             self._refuse(refusal)
             return
         await self._serve_admitted(route, deadline_s)
@@ -127,7 +127,7 @@
             self._outcome.time_out()
         finally:
             if not self._progress.may_have_run:
-                self._admission.not_run()
+                self._admission.return_units()
 
     def _refuse(self, refusal: Rejection) -> None:
         """Refuse what no replica has run, by what is known."""
@@ -156,7 +156,7 @@
     async def _serve(self, route: Route, deadline_s: float) -> None:
         if self._outlasts_process(deadline_s):
             detail = "the stream would outlast this process, which stops"
-            self._outcome.refuse(ErrorKind.OVERLOADED, detail, STOPPING_RETRY_S)
+            self._outcome.refuse(ErrorKind.OVERLOADED, detail, STOPPING_RETRY_AFTER_S)
             return
         waiting = WaitingRequest(self._context, self._request, route, self._progress, self._log)
         while True:
@@ -170,13 +170,13 @@
                     continue
                 self._outcome.give_up(waiting.give_up(choice, self._admission.rank(route)))
                 return
-            is_repeat = self._progress.sendings > 0
+            is_repeat = self._progress.attempts > 0
             if is_repeat and not self._may_send_again():
                 why = NoReplicaReason.ALL_TRIED
                 self._outcome.give_up(waiting.give_up(why, self._admission.rank(route)))
                 return
             if self._progress.may_have_run:
-                refusal = await self._admission.charge_again(until_monotonic_s(deadline_s))
+                refusal = await self._admission.charge_again(to_monotonic_at_s(deadline_s))
                 if refusal is not None:
                     self._refuse(refusal)
                     return
@@ -222,7 +222,7 @@
         return choose(records, self._request, self._progress.tried, limits, self._loop.time())
 
     def _may_send_again(self) -> bool:
-        if self._progress.sendings >= MOST_SENDINGS:
+        if self._progress.attempts >= MOST_SENDINGS:
             return False
         budget = self._context.budget(self._service)
         return budget.spend(self._loop.time(), self._context.gateways)
@@ -232,16 +232,18 @@
         if is_repeat:
             self._context.budget(self._service).give_back()
         if self._progress.may_have_run:
-            self._admission.not_run()
+            self._admission.return_units()
 
     async def _goes_on_after(self, route: Route, choice: Choice, end: AttemptEnd) -> bool:
         """Whether the request may go to another replica."""
         progress = self._progress
         if end.result is AttemptResult.NOT_RUN:
             progress.may_have_run = progress.runs > 0
-            progress.last = end.detail
+            progress.last_failure = end.detail
             return True
-        failed_answer = end.result is AttemptResult.COMPLETE and end.status >= FAILED_STATUS
+        failed_answer = (
+            end.result is AttemptResult.COMPLETE and end.status >= MIN_SERVER_ERROR_STATUS
+        )
         if end.relayed or not (end.result is AttemptResult.FAILED or failed_answer):
             return False
         repeatable = route.may_repeat or (route.kind is RouteKind.STREAM and route.resumable)
--- a/src/crowsill/gateway/exchange_log.py
+++ b/src/crowsill/gateway/exchange_log.py
@@ -5,11 +5,11 @@
 from crowsill.events import Event
 from crowsill.gateway.attempt import Attempt
 from crowsill.gateway.fingerprint import Fingerprints
-from crowsill.gateway.holding import wait_budget_of
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import Choice, NoReplicaReason
+from crowsill.gateway.wait_decision import wait_budget
 from crowsill.logs import log_event
 from crowsill.metrics import GATEWAY_FIRST_BYTE_S, GATEWAY_REQUESTS, REPLICA_SIGNALS
 from crowsill.model.routes import Route, RouteKind
@@ -56,7 +56,7 @@
         """Whether the caller was refused before."""
         if self.route is None:
             return False
-        return wait_budget_of(self.route, self._request.wait_ms, 0.0).has_returned
+        return wait_budget(self.route, self._request.wait_ms, 0.0).is_retry
 
     def _is_late(self, first_ms: float, gap_ms: float) -> bool:
         """Whether an answer came after its target, or paused longer than its route allows."""
@@ -207,7 +207,7 @@
             resource=self._request.resource,
             kind=kind,
             detail=detail,
-            sendings=progress.sendings,
+            sendings=progress.attempts,
             may_have_run=progress.may_have_run,
             retry_after_s="" if retry_after_s is None else retry_after_s,
             returned=self._has_returned(),
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -12,7 +12,7 @@
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.response import encode_problem
 from crowsill.gateway.selection import NoReplicaReason
-from crowsill.gateway.waiting import RefusedRequest
+from crowsill.gateway.waiting import RejectedRequest
 
 # When to come back where a request was not sent within its time.
 FULL_RETRY_S = 0.3
@@ -52,23 +52,23 @@
         if not end.relayed:
             is_head = self._request.method == b"HEAD"
             self._caller.write(encode_complete_response(end, close, is_head))
-        self._log.log_finished(end.status, self._progress.sendings, self._progress.attempt)
+        self._log.log_finished(end.status, self._progress.attempts, self._progress.attempt)
         self._caller.finish(not close)
 
-    def give_up(self, refused: RefusedRequest) -> None:
+    def give_up(self, refused: RejectedRequest) -> None:
         """Refuse because no replica takes the request."""
         why = refused.reason
         if self._progress.may_have_run:
             self.refuse(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {why}")
             return
-        kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last}"
+        kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last_failure}"
         if why is NoReplicaReason.NO_MODEL:
             kind, detail = ErrorKind.NO_REPLICA, "no replica holds the model yet"
         elif why is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
         elif why is NoReplicaReason.ALL_CLOSED:
             detail = refused.detail or "every replica that could run it is closed for a moment"
-        self.refuse(kind, detail, round(refused.back_s, 2))
+        self.refuse(kind, detail, round(refused.retry_after_s, 2))
 
     def time_out(self) -> None:
         """End the request because its time, or that of the process, is over."""
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -14,20 +14,20 @@
 
     Attributes:
         tried: Ids of instances that have had it.
-        sendings: How often it was sent.
+        attempts: How often it was sent.
         runs: How often a replica ran it, or may have.
         may_have_run: Whether "not run" may no longer be said.
-        last: Why the last sending brought nothing, for the refusal.
-        held_for: Why it was held last.
+        last_failure: Why the last sending brought nothing, for the refusal.
+        waiting_reason: Why it was held last.
         attempt: The present sending, or the last one.
     """
 
     tried: set[str] = field(default_factory=set)
-    sendings: int = 0
+    attempts: int = 0
     runs: int = 0
     may_have_run: bool = False
-    last: str = ""
-    held_for: NoReplicaReason | None = None
+    last_failure: str = ""
+    waiting_reason: NoReplicaReason | None = None
     attempt: Attempt | None = None
 
 
@@ -41,7 +41,7 @@
         record.pending_prompt_tokens += tokens
         record.unanswered_sent_at_s[id(self)] = sent_s
 
-    def read(self) -> None:
+    def stop_counting(self) -> None:
         """Count it no more."""
         if not self._is_counted:
             return
--- a/src/crowsill/gateway/quota.py
+++ b/src/crowsill/gateway/quota.py
@@ -17,12 +17,12 @@
 from crowsill.transport.messages import Body, GrantReply, GrantRequest
 
 # Time after which a question is asked again, on whatever stream there is then.
-ANSWER_TIMEOUT_S = 0.8
-ASK_AGAIN_S = 0.05
+RESPONSE_TIMEOUT_S = 0.8
+QUERY_RETRY_S = 0.05
 # Without a leader nothing is granted. A group elects one within 0.4 to 0.8 s of a loss, and its
 # gateways reach it 0.1 to 0.3 s later; a caller that is sent away comes back no sooner.
-LONGEST_WAIT_S = 1.2
-NO_LEADER_RETRY_S = 0.5
+MAX_LEADER_WAIT_S = 1.2
+NO_LEADER_RETRY_AFTER_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,49 +32,51 @@
     Attributes:
         tenant: Whose they are.
         units: How many.
-        good_until_s: Clock after which no request may begin on them.
+        expires_at_s: Clock after which no request may begin on them.
     """
 
     tenant: str
     units: float
-    good_until_s: float
+    expires_at_s: float
 
 
 class GrantClient:
     """The grants of all tenants at one gateway."""
 
-    def __init__(self, ask: Callable[[GrantRequest, float], Awaitable[Body | None]]) -> None:
+    def __init__(self, query: Callable[[GrantRequest, float], Awaitable[Body | None]]) -> None:
         """Make a client.
 
         Args:
-            ask: Sends a question to the group; the reply, or None when there was none within the
+            query: Sends a question to the group; the reply, or None when there was none within the
                 time given.
         """
-        self._ask = ask
+        self._query = query
         self._unused: dict[str, list[Charge]] = {}
 
-    async def charge(self, tenant: Tenant, units: float, until_s: float) -> Charge | Rejection:
+    async def charge(
+        self, tenant: Tenant, units: float, deadline_at_s: float
+    ) -> Charge | Rejection:
         """Have units granted for one request; wait until they may be used.
 
         Args:
             tenant: Whose request it is; its rate is limited.
             units: What it counts.
-            until_s: Clock (`monotonic_s`) after which the caller has no use for it.
+            deadline_at_s: Clock (`monotonic_s`) after which the caller has no use for it.
         """
         unused = self._take_unused(tenant.name, units)
         if unused is not None:
             return unused
-        until_s = min(until_s, monotonic_s() + LONGEST_WAIT_S)
+        deadline_at_s = min(deadline_at_s, monotonic_s() + MAX_LEADER_WAIT_S)
         while True:
-            asked_s = monotonic_s()
-            if asked_s >= until_s:
+            queried_at_s = monotonic_s()
+            if queried_at_s >= deadline_at_s:
                 note_tenant_units(tenant.name, "no_leader", units)
                 detail = "nobody could say whether the tenant's rate has room"
-                return Rejection(ErrorKind.NOT_READY, detail, NO_LEADER_RETRY_S)
-            timeout_s = min(ANSWER_TIMEOUT_S, until_s - asked_s)
-            reply = await self._ask(GrantRequest(tenant.name, units), timeout_s)
+                return Rejection(ErrorKind.NOT_READY, detail, NO_LEADER_RETRY_AFTER_S)
+            timeout_s = min(RESPONSE_TIMEOUT_S, deadline_at_s - queried_at_s)
+            reply = await self._query(GrantRequest(tenant.name, units), timeout_s)
             if not isinstance(reply, GrantReply):
-                await asyncio.sleep(ASK_AGAIN_S)
+                await asyncio.sleep(QUERY_RETRY_S)
                 continue
             if not reply.is_granted:
                 note_tenant_units(tenant.name, "refused", units)
@@ -82,20 +84,20 @@
                 return Rejection(ErrorKind.RATE_LIMITED, detail, reply.wait_s)
             await asyncio.sleep(reply.wait_s)
             # It took effect after it was asked for, so it is good for at least as long as this.
-            good_until_s = asked_s + reply.wait_s + reply.lifetime_s
-            if monotonic_s() < good_until_s:
+            expires_at_s = queried_at_s + reply.wait_s + reply.lifetime_s
+            if monotonic_s() < expires_at_s:
                 note_tenant_units(tenant.name, "granted", units)
-                return Charge(tenant.name, units, good_until_s)
+                return Charge(tenant.name, units, expires_at_s)
 
-    def give_back(self, charge: Charge) -> None:
+    def return_units(self, charge: Charge) -> None:
         """Keep the units of a request that no replica ran."""
         self._unused.setdefault(charge.tenant, []).append(charge)
 
     def _take_unused(self, tenant: str, units: float) -> Charge | None:
         now_s = monotonic_s()
-        kept = [item for item in self._unused.get(tenant, ()) if item.good_until_s > now_s]
-        fitting = next((item for item in kept if item.units >= units), None)
+        valid = [item for item in self._unused.get(tenant, ()) if item.expires_at_s > now_s]
+        fitting = next((item for item in valid if item.units >= units), None)
         if fitting is not None:
-            kept.remove(fitting)
-        self._unused[tenant] = kept
+            valid.remove(fitting)
+        self._unused[tenant] = valid
         return fitting
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -7,7 +7,7 @@
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.rejection import Rejection
-from crowsill.gateway.replica_feedback import FAILED_STATUS
+from crowsill.gateway.replica_feedback import MIN_SERVER_ERROR_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.instances import Instance
 from crowsill.model.suspects import LONGEST_PLACE, SuspectRequest
@@ -92,7 +92,7 @@
         if end.is_broken:
             watch.note_break(instance, self._suspect(sent_s))
             return
-        is_good = end.result is AttemptResult.COMPLETE and end.status < FAILED_STATUS
+        is_good = end.result is AttemptResult.COMPLETE and end.status < MIN_SERVER_ERROR_STATUS
         is_small = len(self._request.body) <= REMEMBERED_BODY_BYTES
         if is_good and (guard.has_suspects or is_small):
             watch.note_success(self._fingerprint)
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -15,10 +15,10 @@
 from crowsill.routing.retry_after import REST_STATUSES
 
 # A first event that took more than this share of its target tells placement of too few copies.
-PRESSED_SHARE = 0.6
+OVERLOADED_TARGET_SHARE = 0.6
 # A replica that did not begin to answer for so long is tried by a new connection first.
-SILENCE_S = 1.5
-FAILED_STATUS = 500
+SILENT_REPLICA_S = 1.5
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class ReplicaFeedback:
@@ -37,58 +37,60 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
 
-    def take_signals(
+    def process_signals(
         self, record: ReplicaRecord, sent_s: float, status: int, signals: ReplicaSignals
     ) -> None:
         """Take in what the head of an answer says of its replica, as it comes."""
         now_s = self._loop.time()
-        if signals.unread and not record.availability.had_unreadable_signal:
+        if signals.unreadable and not record.availability.had_unreadable_signal:
             record.availability.had_unreadable_signal = True
-            self._log.log_unreadable(record, signals.unread)
+            self._log.log_unreadable(record, signals.unreadable)
         if signals.backoff_s > 0.0 and record.availability.note_backoff(
             signals.backoff_s, now_s, record.in_flight
         ):
             self._log.log_backoff(record, status, signals.backoff_s)
             self._context.on_backoff(record)
-        self._take_limit(record, sent_s, signals)
+        self._process_limit(record, sent_s, signals)
         if status not in REST_STATUSES:
             record.availability.note_accepted(sent_s)
         if signals.is_draining and record.note_draining(now_s):
             self._log.log_draining(record, status)
             self._context.on_draining(record)
 
-    def _take_limit(self, record: ReplicaRecord, sent_s: float, signals: ReplicaSignals) -> None:
+    def _process_limit(self, record: ReplicaRecord, sent_s: float, signals: ReplicaSignals) -> None:
         """Take in the limit that the head of an answer names, or that it names none."""
         availability = record.availability
         if signals.limit_per_s is not None:
             if not availability.note_limit(signals.limit_per_s, self._loop.time()):
                 return
             self._log.log_limited(record, signals.limit_per_s)
-        elif signals.names_limit or not availability.limit.note_unnamed(sent_s):
+        elif signals.has_limit_header or not availability.limit.note_unnamed(sent_s):
             return
         else:
             self._log.log_unlimited(record)
         self._context.on_limit_changed(record)
 
-    def notice_silence(self, record: ReplicaRecord, attempt: Attempt) -> None:
+    def check_silence(self, record: ReplicaRecord, attempt: Attempt) -> None:
         """A replica that said nothing for long may be gone without a word."""
         if attempt.has_response or attempt.connection is None:
             return
-        if self._loop.time() - attempt.started_at_s < SILENCE_S:
+        if self._loop.time() - attempt.started_at_s < SILENT_REPLICA_S:
             return
         record.note_failure(self._loop.time())
         self._context.on_unreachable(record)
         self._log.log_attempt_failed(record, "silent", "no answer")
 
-    def note_pressure(self, route: Route, attempt: Attempt, sent_s: float) -> None:
+    def note_overload(self, route: Route, attempt: Attempt, sent_s: float) -> None:
         """Tell placement of a first event that took most of its target."""
         if not self._request.model or attempt.first_data_at_s is None:
             return
         taken_ms = (attempt.first_data_at_s - sent_s) * 1000.0
-        if taken_ms > route.target_latency_ms * PRESSED_SHARE:
-            self._context.demand.note_pressed(self._log.service, self._request.model)
+        if taken_ms > route.target_latency_ms * OVERLOADED_TARGET_SHARE:
+            self._context.demand.note_overloaded(self._log.service, self._request.model)
 
-    def learn(self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_s: float) -> None:
+    def note_attempt_end(
+        self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_s: float
+    ) -> None:
         """Take in what an attempt says about its replica."""
         record, request = choice.record, self._request
         now_s = self._loop.time()
@@ -107,7 +109,7 @@
             record.note_failure(now_s)
             self._log.log_attempt_failed(record, end.result, end.detail)
             return
-        if end.status >= FAILED_STATUS:
+        if end.status >= MIN_SERVER_ERROR_STATUS:
             record.note_error_response()
             return
         record.note_success()
--- a/src/crowsill/gateway/replica_grants.py
+++ b/src/crowsill/gateway/replica_grants.py
@@ -14,10 +14,10 @@
 from crowsill.transport.replica_messages import ReplicaGrantRequest
 
 # A question crosses between sites and back within some ms; a lost packet is sent again after 0.2 s.
-ANSWER_TIMEOUT_S = 0.3
-NO_LEADER_RETRY_S = 0.3
+RESPONSE_TIMEOUT_S = 0.3
+NO_LEADER_RETRY_AFTER_S = 0.3
 # A replica is left alone for so long at least where it was refused.
-SHORTEST_CLOSE_S = 0.05
+MIN_CLOSE_S = 0.05
 
 
 class ReplicaGrants:
@@ -25,20 +25,20 @@
 
     def __init__(
         self,
-        ask: Callable[[ReplicaGrantRequest, float], Awaitable[Body | None]],
+        query: Callable[[ReplicaGrantRequest, float], Awaitable[Body | None]],
         on_change: Callable[[], None],
     ) -> None:
         """Make it.
 
         Args:
-            ask: Sends a question to the group; the reply, or None when there was none within the
+            query: Sends a question to the group; the reply, or None when there was none within the
                 time given.
             on_change: Called when a replica may be asked for again.
         """
-        self._ask = ask
+        self._query = query
         self._on_change = on_change
         # Held while a question is under way; gone when nobody asks.
-        self._asking: WeakValueDictionary[str, asyncio.Lock] = WeakValueDictionary()
+        self._query_locks: WeakValueDictionary[str, asyncio.Lock] = WeakValueDictionary()
 
     async def acquire(self, record: ReplicaRecord, is_urgent: bool) -> float | None:
         """Have one request at a replica granted; wait until it may be sent.
@@ -54,15 +54,15 @@
         loop = asyncio.get_running_loop()
         availability, instance_id = record.availability, record.instance.instance_id
         # One question at a time for each replica: what one is refused holds for all of its kind.
-        asking = self._asking.setdefault(instance_id, asyncio.Lock())
-        async with asking:
+        lock = self._query_locks.setdefault(instance_id, asyncio.Lock())
+        async with lock:
             now_s = loop.time()
             if not availability.limit.binds(now_s):
                 return float("-inf")
             if availability.is_closed_indefinitely or now_s < availability.opens_at_s(is_urgent):
                 return None
-            word = availability.limit.told(instance_id, now_s)
-            reply = await self._ask(ReplicaGrantRequest(word, is_urgent), ANSWER_TIMEOUT_S)
+            report = availability.limit.told(instance_id, now_s)
+            reply = await self._query(ReplicaGrantRequest(report, is_urgent), RESPONSE_TIMEOUT_S)
             if not isinstance(reply, GrantReply) or not reply.is_granted:
                 self._close(record, reply, is_urgent)
                 return None
@@ -76,9 +76,9 @@
         loop = asyncio.get_running_loop()
         if isinstance(reply, GrantReply):
             REPLICA_GRANTS.labels("refused").inc()
-            wait_s = max(SHORTEST_CLOSE_S, reply.wait_s)
+            wait_s = max(MIN_CLOSE_S, reply.wait_s)
         else:
             REPLICA_GRANTS.labels("no_leader").inc()
-            wait_s, is_urgent = NO_LEADER_RETRY_S, True
+            wait_s, is_urgent = NO_LEADER_RETRY_AFTER_S, True
         record.availability.close_for_limit(loop.time() + wait_s, is_urgent)
         loop.call_later(wait_s, self._on_change)
--- a/src/crowsill/gateway/replica_signals.py
+++ b/src/crowsill/gateway/replica_signals.py
@@ -12,8 +12,8 @@
 from crowsill.routing.retry_after import REST_STATUSES, longest_delay_s
 
 RETRY_AFTER = b"retry-after"
-LONGEST_UNREAD = 80
-_LEAVES = b"1"
+MAX_UNREADABLE_CHARS = 80
+_DRAINING_VALUE = b"1"
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,16 +39,16 @@
         is_draining: Whether it leaves: it is to get nothing new in this life.
         limit_per_s: Requests a second that it takes from all gateways; None if it names none that
             can be read. Of several, the least.
-        names_limit: Whether it names any, one that cannot be read included.
-        unread: What it said that cannot be read, for the log; empty without.
+        has_limit_header: Whether it names any, one that cannot be read included.
+        unreadable: What it said that cannot be read, for the log; empty without.
     """
 
     load: ReplicaLoad | None = None
     backoff_s: float = 0.0
     is_draining: bool = False
     limit_per_s: float | None = None
-    names_limit: bool = False
-    unread: str = ""
+    has_limit_header: bool = False
+    unreadable: str = ""
 
 
 def read_signals(
@@ -72,34 +72,38 @@
     >>> read_signals(200, [(b"Crowsill-Server-Limit", b"1.5")], names, 0.0).limit_per_s
     1.5
     """
-    unread: list[str] = []
+    unreadable: list[str] = []
     backoff_s = 0.0
     if status in REST_STATUSES:
         values = [value.decode("latin-1") for value in all_values(headers, RETRY_AFTER)]
         backoff_s, wrong = longest_delay_s(values, wall_s)
-        unread.extend(f"Retry-After: {value}" for value in wrong)
-    told = [value.strip() for name in names.leaving for value in all_values(headers, name)]
-    unread.extend(f"leaving: {value.decode('latin-1')}" for value in told if value != _LEAVES)
+        unreadable.extend(f"Retry-After: {value}" for value in wrong)
+    drain_values = [value.strip() for name in names.leaving for value in all_values(headers, name)]
+    unreadable.extend(
+        f"leaving: {value.decode('latin-1')}" for value in drain_values if value != _DRAINING_VALUE
+    )
     named = [value for name in names.limit for value in all_values(headers, name)]
     limits = {value: read_limit_per_s(value) for value in named}
-    unread.extend(f"limit: {value.decode('latin-1')}" for value in named if limits[value] is None)
+    unreadable.extend(
+        f"limit: {value.decode('latin-1')}" for value in named if limits[value] is None
+    )
     return ReplicaSignals(
         load=read_load(find_header(headers, names.load)),
         backoff_s=backoff_s,
-        is_draining=_LEAVES in told,
+        is_draining=_DRAINING_VALUE in drain_values,
         limit_per_s=min((per_s for per_s in limits.values() if per_s is not None), default=None),
-        names_limit=bool(named),
-        unread=", ".join(unread)[:LONGEST_UNREAD],
+        has_limit_header=bool(named),
+        unreadable=", ".join(unreadable)[:MAX_UNREADABLE_CHARS],
     )
 
 
-def read_load(told: bytes | None) -> ReplicaLoad | None:
+def read_load(header: bytes | None) -> ReplicaLoad | None:
     """Read a load of the form `running,waiting,slots`; None when there is none.
 
     >>> read_load(b"3,1,8"), read_load(b"3"), read_load(None)
     (ReplicaLoad(running=3.0, waiting=1.0), None, None)
     """
-    words = [] if told is None else told.split(b",")
+    words = [] if header is None else header.split(b",")
     if len(words) < 2:
         return None
     running, waiting = read_number(words[0]), read_number(words[1])
--- a/src/crowsill/gateway/replica_watch.py
+++ b/src/crowsill/gateway/replica_watch.py
@@ -13,7 +13,7 @@
 RECONNECT_S = 0.5
 RECONNECT_TIMEOUT_S = 1.0
 # The group has recorded that a replica leaves, and told all gateways, within half of this.
-TELL_LEAVING_S = 0.5
+DRAIN_REPORT_INTERVAL_S = 0.5
 
 
 class ReplicaWatch:
@@ -40,7 +40,7 @@
         self._on_change = on_change
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def unreachable(self, record: ReplicaRecord) -> None:
+    def watch_unreachable(self, record: ReplicaRecord) -> None:
         """Leave a replica out until a connection to it can be made, and say so to the group."""
         # A record that is gone is looked after by nobody, and its life may be listed again.
         is_known = self._registry.find(record.instance.instance_id) is record
@@ -51,9 +51,9 @@
         # cost a request its deadline, and would pass for the proof that it can be reached.
         self._pool.close_idle(record.instance.instance_id)
         self._notify(SuspectInstances([record.instance.instance_id]))
-        self._begin(self._try_again(record))
+        self._start_task(self._reconnect(record))
 
-    async def _try_again(self, record: ReplicaRecord) -> None:
+    async def _reconnect(self, record: ReplicaRecord) -> None:
         """Try to connect until it works or the replica is gone for good."""
         instance_id = record.instance.instance_id
         while self._registry.find(instance_id) is record and record.instance.accepts_work:
@@ -68,17 +68,17 @@
             self._on_change()
             return
 
-    def rests(self, record: ReplicaRecord) -> None:
+    def watch_backoff(self, record: ReplicaRecord) -> None:
         """Look at a replica again when its rest is over."""
         asyncio.get_running_loop().call_at(
-            record.availability.backoff_ends_at_s, self._rested, record
+            record.availability.backoff_ends_at_s, self._end_backoff, record
         )
 
-    def _rested(self, record: ReplicaRecord) -> None:
+    def _end_backoff(self, record: ReplicaRecord) -> None:
         availability = record.availability
         if availability.is_backing_off(asyncio.get_running_loop().time()):
             # It has asked for more meanwhile.
-            self.rests(record)
+            self.watch_backoff(record)
             return
         log_event(
             Event.REPLICA_RESTED,
@@ -87,11 +87,11 @@
         )
         self._on_change()
 
-    def leaves(self, record: ReplicaRecord) -> None:
+    def report_draining(self, record: ReplicaRecord) -> None:
         """Tell the group that a replica said that it leaves."""
-        self._begin(self._tell_leaving(record))
+        self._start_task(self._repeat_drain_report(record))
 
-    async def _tell_leaving(self, record: ReplicaRecord) -> None:
+    async def _repeat_drain_report(self, record: ReplicaRecord) -> None:
         """Tell the group until its directory says so, or the replica is gone."""
         instance_id = record.instance.instance_id
         while (
@@ -99,9 +99,9 @@
             and record.listed_state is InstanceState.READY
         ):
             self._notify(LeavingInstances([instance_id]))
-            await asyncio.sleep(TELL_LEAVING_S)
+            await asyncio.sleep(DRAIN_REPORT_INTERVAL_S)
 
-    def _begin(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -128,7 +128,7 @@
         self._tasks = [
             asyncio.create_task(self._follower.run()),
             asyncio.create_task(self.pool.sweep()),
-            asyncio.create_task(self.demand.ask_on()),
+            asyncio.create_task(self.demand.repeat_reports()),
         ]
 
     def port(self) -> int:
@@ -218,7 +218,7 @@
     @property
     def gateways(self) -> int:
         """Number of gateways that share the retry budgets."""
-        return self._gateway_count.most()
+        return self._gateway_count.maximum()
 
     def budget(self, service: str) -> SharedBudget:
         """Return the retry budget of a service."""
@@ -233,16 +233,16 @@
 
     def on_unreachable(self, record: ReplicaRecord) -> None:
         """Leave a replica out until a connection to it can be made, and say so to the group."""
-        self._watch.unreachable(record)
+        self._watch.watch_unreachable(record)
 
     def on_backoff(self, record: ReplicaRecord) -> None:
         """Look at a replica again when its rest is over."""
-        self._watch.rests(record)
+        self._watch.watch_backoff(record)
 
     def on_draining(self, record: ReplicaRecord) -> None:
         """Have a replica that said that it leaves treated as draining, here and by the group."""
         self._on_directory([record.instance.instance_id])
-        self._watch.leaves(record)
+        self._watch.report_draining(record)
 
     def on_limit_changed(self, record: ReplicaRecord) -> None:
         """Tell the group at once what a replica names; heartbeats tell it again."""
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -85,7 +85,7 @@
         try:
             connection = await context.pool.acquire(record.instance, deadline_s - self._loop.time())
             attempt = self._attempt_at(route, record, connection, closes)
-            attempt.on_first_data = prompt.read
+            attempt.on_first_data = prompt.stop_counting
             attempt.on_signals = functools.partial(self._take_signals, record, probe, attempt)
             # Looked at after the last wait: the connection may have taken a second to come up.
             if self._admission.recheck() is not None or self._repeats.quarantine() is not None:
@@ -97,9 +97,9 @@
             sent_s = self._transmit(route, record, attempt, connection, deadline_s)
             end = await attempt.ended
             reusable = end.result in (AttemptResult.COMPLETE, AttemptResult.NOT_RUN)
-            self._feedback.learn(choice, attempt, end, sent_s)
+            self._feedback.note_attempt_end(choice, attempt, end, sent_s)
             self._repeats.learn(record.instance, end, sent_s)
-            self._feedback.note_pressure(route, attempt, sent_s)
+            self._feedback.note_overload(route, attempt, sent_s)
             return end
         except ConnectError as error:
             record.note_failure(self._loop.time())
@@ -107,12 +107,12 @@
                 context.crash_watch.note_refused(record.instance)
             context.on_unreachable(record)
             GATEWAY_ATTEMPTS.labels("unreachable").inc()
-            self._progress.last = f"connect: {error}"
+            self._progress.last_failure = f"connect: {error}"
             self._log.log_attempt_failed(record, "unreachable", str(error))
             return None
         finally:
             record.in_flight -= 1
-            prompt.read()
+            prompt.stop_counting()
             probe.end()
             self._end_attempt(record)
             if connection is not None:
@@ -122,7 +122,7 @@
         """Log that the request goes to a replica, and by which routes and directory."""
         context = self._context
         version = 0 if context.table is None else context.table.version
-        self._log.log_routed(choice, self._progress.sendings + 1, version, context.registry.version)
+        self._log.log_routed(choice, self._progress.attempts + 1, version, context.registry.version)
 
     async def _granted_until_s(self, route: Route, record: ReplicaRecord) -> float | None:
         """Return until when the request may be sent to a replica; None if it may not now.
@@ -178,7 +178,7 @@
         if record.availability.limit.holds:
             record.availability.sent_under_limit += 1
             SENT_UNDER_LIMIT.inc()
-        self._progress.sendings += 1
+        self._progress.attempts += 1
         self._progress.may_have_run = True
         connection.send(message, request.request_id, request.method == b"HEAD", attempt)
         return sent_s
@@ -193,7 +193,7 @@
     ) -> None:
         """Take in the head of the answer to a sending."""
         probe.end()
-        self._feedback.take_signals(record, attempt.sent_s, status, signals)
+        self._feedback.process_signals(record, attempt.sent_s, status, signals)
         if signals.backoff_s > 0.0:
             # What it turned away may go there again when its rest is over.
             self._progress.tried.discard(record.instance.instance_id)
@@ -203,7 +203,7 @@
         attempt = self._progress.attempt
         if attempt is None:
             return
-        self._feedback.notice_silence(record, attempt)
+        self._feedback.check_silence(record, attempt)
         if attempt.connection is not None and attempt.was_abandoned:
             self._repeats.abandon(record.instance, attempt.sent_s)
         attempt.connection = None
@@ -212,4 +212,4 @@
         admission = self._admission
         tenant = "" if admission.tenant is None else admission.tenant.name
         rank = admission.rank(route)
-        return ForwardingTerms(replica, rank, left_s, admission.is_keyed, tenant)
+        return ForwardingTerms(replica, rank, left_s, admission.requires_key, tenant)
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -1,6 +1,6 @@
 """What becomes of one request while no replica takes it: it waits, or comes back later.
 
-The decision is that of `holding`, by the estimates of `wait_estimates`; this module has the
+The decision is that of `wait_decision`, by the estimates of `wait_estimates`; this module has the
 request wait, and tells placement what it waits for.
 """
 
@@ -10,41 +10,41 @@
 from crowsill.gateway.availability import ExclusionReason
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.holding import (
-    MOST_WAITING_TO_OPEN,
-    WaitBudget,
-    WaitEstimate,
-    return_s,
-    wait_budget_of,
-    waits,
-)
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import is_urgent
 from crowsill.gateway.selection import NoReplicaReason, first_to_open
+from crowsill.gateway.wait_decision import (
+    MAX_WAITING_TO_OPEN,
+    WaitBudget,
+    WaitEstimate,
+    retry_delay_s,
+    should_wait,
+    wait_budget,
+)
 from crowsill.gateway.wait_estimates import estimate_wait
 from crowsill.model.routes import ModelWeights, Route
 
-HOLD_POLL_S = 0.1
-ASK_AGAIN_S = 0.3
+CAPACITY_POLL_S = 0.1
+DEMAND_REPEAT_S = 0.3
 # A process that stops sends callers on: another gateway has the same routes.
-STOPPING_RETRY_S = 0.1
+STOPPING_RETRY_AFTER_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class RefusedRequest:
+class RejectedRequest:
     """A request that is given up because no replica takes it.
 
     Attributes:
         reason: What was in the way last.
-        back_s: When the caller should come back.
+        retry_after_s: When the caller should come back.
         detail: What closes the replica that opens first, and for how long; for the reader of the
             refusal.
     """
 
     reason: NoReplicaReason
-    back_s: float
+    retry_after_s: float
     detail: str = ""
 
 
@@ -72,21 +72,21 @@
         if reason is NoReplicaReason.ALL_TRIED:
             return False
         request = self._request
-        is_crowded = reason is NoReplicaReason.ALL_FULL or self._is_limited(reason)
-        if is_crowded and self._progress.held_for is not reason and request.model:
-            self._context.demand.note_pressed(self._log.service, request.model)
+        is_overloaded = reason is NoReplicaReason.ALL_FULL or self._is_limited(reason)
+        if is_overloaded and self._progress.waiting_reason is not reason and request.model:
+            self._context.demand.note_overloaded(self._log.service, request.model)
         if reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
-            self._context.demand.ask_for(self._log.service, request.model, request.adapter)
+            self._context.demand.report_missing(self._log.service, request.model, request.adapter)
         remaining_s = self._context.wait_limit_at_s() - self._loop.time()
-        if remaining_s <= 0.0 or not waits(
-            self._estimate(reason), self._wait_budget(), self._answer_s()
+        if remaining_s <= 0.0 or not should_wait(
+            self._estimate(reason), self._wait_budget(), self._response_s()
         ):
             return False
-        if self._progress.held_for is not reason:
-            self._progress.held_for = reason
+        if self._progress.waiting_reason is not reason:
+            self._progress.waiting_reason = reason
             self._log.log_waiting(reason, self._context.registry.version)
         # The control group forgets what is not asked for again.
-        poll_s = HOLD_POLL_S if reason is NoReplicaReason.ALL_FULL else ASK_AGAIN_S
+        poll_s = CAPACITY_POLL_S if reason is NoReplicaReason.ALL_FULL else DEMAND_REPEAT_S
         if reason is NoReplicaReason.ALL_CLOSED:
             return await self._wait_to_open(min(remaining_s, poll_s))
         await self._context.wait_for_change(min(remaining_s, poll_s))
@@ -98,20 +98,20 @@
         Who waits for another replica of the service keeps nobody from it. Nothing is awaited
         between two waits of one request, so that it keeps its place.
         """
-        awaited = self._first_to_open()
-        if awaited is None:
+        blocking = self._first_to_open()
+        if blocking is None:
             return True
         waiting = self._context.registry.waiting_to_open
-        place = (awaited.instance.instance_id, self._is_urgent)
-        if waiting[place] >= MOST_WAITING_TO_OPEN:
+        key = (blocking.instance.instance_id, self._is_urgent)
+        if waiting[key] >= MAX_WAITING_TO_OPEN:
             return False
-        waiting[place] += 1
+        waiting[key] += 1
         try:
             await self._context.wait_for_change(time_s)
         finally:
-            waiting[place] -= 1
-            if not waiting[place]:
-                del waiting[place]
+            waiting[key] -= 1
+            if not waiting[key]:
+                del waiting[key]
         return True
 
     def _first_to_open(self) -> ReplicaRecord | None:
@@ -127,7 +127,7 @@
         closed = record.availability.exclusion(self._loop.time(), self._is_urgent)
         return closed is not None and closed.reason is ExclusionReason.RATE_LIMITED
 
-    def give_up(self, reason: NoReplicaReason, rank: int) -> RefusedRequest:
+    def give_up(self, reason: NoReplicaReason, rank: int) -> RejectedRequest:
         """Decide when a request that is given up should come back.
 
         Args:
@@ -141,19 +141,19 @@
             ready_s = record.availability.reserve_return_at_s(now_s, self._is_urgent) - now_s
             estimate = replace(estimate, ready_s=ready_s)
         spread = self._context.random.random()
-        back_s = return_s(estimate, budget, rank, spread)
+        retry_after_s = retry_delay_s(estimate, budget, rank, spread)
         if self._context.is_stopping():
             # Another gateway can wait for what this one has no time for.
-            back_s = STOPPING_RETRY_S
+            retry_after_s = STOPPING_RETRY_AFTER_S
         elif reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
             request = self._request
-            self._context.demand.keep_asking(self._log.service, request.model, request.adapter)
-        return RefusedRequest(reason, back_s, self._closed_detail())
+            self._context.demand.keep_reporting(self._log.service, request.model, request.adapter)
+        return RejectedRequest(reason, retry_after_s, self._closed_detail())
 
     def _wait_budget(self) -> WaitBudget:
         request, route = self._request, self._route
         waited_s = self._loop.time() - request.arrived_at_s
-        return wait_budget_of(route, request.wait_ms, waited_s)
+        return wait_budget(route, request.wait_ms, waited_s)
 
     def _estimate(self, reason: NoReplicaReason) -> WaitEstimate:
         """When a replica may take the request."""
@@ -190,7 +190,7 @@
             return None
         return service.engine.model(self._request.model)
 
-    def _answer_s(self) -> float:
+    def _response_s(self) -> float:
         """Time from sending the request to its first event at an idle engine."""
         request = self._request
         if not request.model:
--- a/tests/patterns/engine_site.py
+++ b/tests/patterns/engine_site.py
@@ -359,12 +359,12 @@
                 self._end(now_s, stream, stream.unmade <= 0)
         for stream in first:
             stream.first_s = stream.last_s = now_s
-            stream.prompt.read()
+            stream.prompt.stop_counting()
             self._hear(stream, number, now_s)
             running.append(stream)
         for stream in [item for item in self.waiting[number] if now_s > item.deadline_s]:
             self.waiting[number].remove(stream)
-            stream.prompt.read()
+            stream.prompt.stop_counting()
             self._end(now_s, stream, False)
         self._step(now_s, number)
 
--- a/tests/patterns/test_model_that_is_on_its_way.py
+++ b/tests/patterns/test_model_that_is_on_its_way.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from crowsill.gateway.holding import return_s, wait_budget_of, waits
 from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import NoReplicaReason
+from crowsill.gateway.wait_decision import retry_delay_s, should_wait, wait_budget
 from crowsill.gateway.wait_estimates import estimate_wait
 from crowsill.model.instances import ComingModel, HeldModel, Instance
 from crowsill.model.routes import ModelWeights, Route, RouteKind, WeightedService
@@ -55,9 +55,9 @@
             waited_s=waited_s,
             now_s=now_s,
         )
-        budget = wait_budget_of(route, route.timeout_ms, waited_s)
-        if not waits(estimate, budget, ANSWER_S):
-            back_s = return_s(estimate, budget, rank=1, spread=Random(seed).random())
+        budget = wait_budget(route, route.timeout_ms, waited_s)
+        if not should_wait(estimate, budget, ANSWER_S):
+            back_s = retry_delay_s(estimate, budget, rank=1, spread=Random(seed).random())
             return "refused", now_s, now_s + back_s
         now_s += STEP_S
     return "served", now_s, now_s
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -222,9 +222,9 @@
         former = registry.find("a@1")
         former.availability.note_backoff(1.0, now_s=0.0)
         registry.adopt(DirectoryChange(2, [], ["a@1"]), False, 0.0)
-        watch.unreachable(former)
+        watch.watch_unreachable(former)
         registry.adopt(DirectoryChange(3, [listed], []), False, 0.0)
-        watch.unreachable(former)
+        watch.watch_unreachable(former)
         found = registry.find("a@1").availability
         assert found.exclusion(0.5) == Exclusion(ExclusionReason.BACKING_OFF, 1.0)
         assert found.exclusion(1.5) is None and found.available_at_s == 1.0
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -6,7 +6,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.gateway.caller_protocol import CallerConnection
-from crowsill.gateway.missing_resources import MOST_KEPT, MissingResources
+from crowsill.gateway.missing_resources import MAX_RETAINED, MissingResources
 from crowsill.gateway.routing_table import OUTRANKING_URGENCY
 from crowsill.model.instances import ComingModel, HeldModel
 from tests.control_group import until
@@ -285,10 +285,10 @@
 
 def test_the_number_of_resources_that_are_asked_for_again_is_bounded():
     asked = MissingResources()
-    for number in range(MOST_KEPT + 10):
-        asked.keep(f"m{number}", 0.0)
+    for number in range(MAX_RETAINED + 10):
+        asked.retain(f"m{number}", 0.0)
     due = asked.due(0.0)
-    assert len(due) == MOST_KEPT and "m9" not in due and "m10" in due
+    assert len(due) == MAX_RETAINED and "m9" not in due and "m10" in due
 
 
 def test_a_patient_route_that_is_ranked_higher_counts_as_urgent_in_part():
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -6,18 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowsill.gateway.holding import (
-    RETURN_SPAN_S,
-    WaitBudget,
-    WaitEstimate,
-    return_s,
-    wait_budget_of,
-    waits,
-)
 from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import NoReplicaReason
-from crowsill.gateway.wait_estimates import CHANCE_COMING, estimate_wait
+from crowsill.gateway.wait_decision import (
+    RETRY_RANK_INTERVAL_S,
+    WaitBudget,
+    WaitEstimate,
+    retry_delay_s,
+    should_wait,
+    wait_budget,
+)
+from crowsill.gateway.wait_estimates import LOADING_PROBABILITY, estimate_wait
 from crowsill.model.instances import ComingModel, Instance
 from crowsill.model.routes import ModelWeights, Route, RouteKind
 
@@ -26,15 +26,17 @@
 PROSPECTS = st.builds(WaitEstimate, SECONDS, SHARES, SECONDS)
 
 
-def budget(waited_s=0.0, total_s=5.0, target_s=0.8, leaves_s=math.inf, before_s=0.0):
-    return WaitBudget(before_s, waited_s, total_s, target_s, leaves_s)
+def budget(
+    waited_s=0.0, total_s=5.0, target_s=0.8, abandons_after_s=math.inf, elapsed_before_s=0.0
+):
+    return WaitBudget(elapsed_before_s, waited_s, total_s, target_s, abandons_after_s)
 
 
 @given(PROSPECTS, SECONDS, SECONDS, SECONDS, SECONDS)
 def test_who_waits_now_would_have_waited_earlier(estimate, waited_s, longer_s, total_s, target_s):
     later = budget(waited_s + longer_s, total_s + 0.1, min(target_s, total_s))
     earlier = budget(waited_s, total_s + 0.1, min(target_s, total_s))
-    assert waits(estimate, earlier, 0.1) or not waits(estimate, later, 0.1)
+    assert should_wait(estimate, earlier, 0.1) or not should_wait(estimate, later, 0.1)
 
 
 @given(PROSPECTS, SECONDS, SECONDS, st.floats(0.1, 30.0), SECONDS)
@@ -42,44 +44,46 @@
     target_s = min(target_s, total_s)
     little = budget(waited_s, total_s, target_s)
     much = budget(waited_s, total_s + more_s, target_s)
-    assert waits(estimate, much, 0.1) or not waits(estimate, little, 0.1)
+    assert should_wait(estimate, much, 0.1) or not should_wait(estimate, little, 0.1)
 
 
 @given(PROSPECTS, SECONDS, SECONDS, SHARES)
 def test_a_likelier_or_sooner_end_is_waited_for_at_least_as_readily(
     estimate, waited_s, sooner_s, x
 ):
-    sooner = WaitEstimate(max(0.0, estimate.ready_s - sooner_s), estimate.chance, estimate.notice_s)
-    likelier = WaitEstimate(estimate.ready_s, max(estimate.chance, x), estimate.notice_s)
+    sooner = WaitEstimate(
+        max(0.0, estimate.ready_s - sooner_s), estimate.probability, estimate.known_after_s
+    )
+    likelier = WaitEstimate(estimate.ready_s, max(estimate.probability, x), estimate.known_after_s)
     for better in (sooner, likelier):
-        if waits(estimate, budget(waited_s), 0.1):
-            assert waits(better, budget(waited_s), 0.1)
+        if should_wait(estimate, budget(waited_s), 0.1):
+            assert should_wait(better, budget(waited_s), 0.1)
 
 
 @given(PROSPECTS, SECONDS, SECONDS)
-def test_what_cannot_be_served_is_refused_at_once(estimate, waited_s, answer_s):
-    caller = budget(waited_s, leaves_s=3.2)
-    if waited_s + estimate.ready_s + answer_s >= 3.2:
-        assert not waits(estimate, caller, answer_s)
+def test_what_cannot_be_served_is_refused_at_once(estimate, waited_s, response_s):
+    caller = budget(waited_s, abandons_after_s=3.2)
+    if waited_s + estimate.ready_s + response_s >= 3.2:
+        assert not should_wait(estimate, caller, response_s)
 
 
 @given(PROSPECTS, SECONDS, st.floats(0.01, 0.9))
 def test_one_that_has_come_back_is_not_refused_more_readily(estimate, waited_s, away):
     # The same answer at the same time after the first try, of which it was away for a part.
     first = budget(waited_s)
-    returned = budget(waited_s, before_s=min(waited_s, 4.0) * away)
+    returned = budget(waited_s, elapsed_before_s=min(waited_s, 4.0) * away)
     if first.waited_s < first.total_s:
-        assert waits(estimate, returned, 0.1) or not waits(estimate, first, 0.1)
+        assert should_wait(estimate, returned, 0.1) or not should_wait(estimate, first, 0.1)
 
 
 @given(PROSPECTS, SHARES, SHARES, st.integers(0, 8))
 def test_urgent_callers_come_back_before_those_that_can_wait(estimate, spread, other, rank):
     caller = budget()
-    urgent_s = return_s(estimate, caller, rank, spread * 0.999)
-    patient_s = return_s(estimate, caller, rank + 1, other)
+    urgent_s = retry_delay_s(estimate, caller, rank, spread * 0.999)
+    patient_s = retry_delay_s(estimate, caller, rank + 1, other)
     assert urgent_s < patient_s
     assert urgent_s >= estimate.ready_s
-    assert patient_s <= estimate.ready_s + RETURN_SPAN_S * (rank + 2)
+    assert patient_s <= estimate.ready_s + RETRY_RANK_INTERVAL_S * (rank + 2)
 
 
 def test_a_wait_has_no_steps():
@@ -87,7 +91,7 @@
 
     def longest_s(total_s):
         waited_s = 0.0
-        while waits(WaitEstimate(0.5, 0.3, 0.5), budget(waited_s, total_s), 0.1):
+        while should_wait(WaitEstimate(0.5, 0.3, 0.5), budget(waited_s, total_s), 0.1):
             waited_s += 0.01
         return waited_s
 
@@ -98,10 +102,10 @@
 
 def test_a_first_try_is_told_by_the_time_that_it_has():
     route = Route("r", "h", "/", RouteKind.AT_MOST_ONCE, 2000, [], target_latency_ms=300)
-    assert not wait_budget_of(route, None, 0.0).has_returned
-    assert not wait_budget_of(route, 4000, 0.0).has_returned
-    returned = wait_budget_of(route, 1500, 0.1)
-    assert (returned.before_s, returned.waited_s) == (0.5, 0.6)
+    assert not wait_budget(route, None, 0.0).is_retry
+    assert not wait_budget(route, 4000, 0.0).is_retry
+    returned = wait_budget(route, 1500, 0.1)
+    assert (returned.elapsed_before_s, returned.waited_s) == (0.5, 0.6)
 
 
 def engine(**more):
@@ -123,7 +127,7 @@
 def test_a_load_under_way_is_known_by_when_it_began():
     record = engine(coming=[ComingModel("m", 2.0)])
     record.note_loading_models(10.0)
-    assert estimate([record], now_s=10.5) == WaitEstimate(1.5, CHANCE_COMING, 1.5)
+    assert estimate([record], now_s=10.5) == WaitEstimate(1.5, LOADING_PROBABILITY, 1.5)
     # Later words on the same engine repeat it, and what is overdue may take as long again.
     record.note_loading_models(11.0)
     assert estimate([record], now_s=12.8).ready_s == 12.8 - 12.0
@@ -132,7 +136,7 @@
 def test_a_load_that_is_only_asked_for_takes_as_long_as_from_the_nearest_copy():
     far, near = estimate([engine()]), estimate([engine(on_disk=["m"])])
     assert (round(far.ready_s, 1), round(near.ready_s, 1)) == (9.2, 2.2)
-    assert estimate([engine()], waited_s=1.0).chance < far.chance < CHANCE_COMING
+    assert estimate([engine()], waited_s=1.0).probability < far.probability < LOADING_PROBABILITY
 
 
 def test_a_model_that_the_routes_do_not_know_never_comes():
@@ -140,4 +144,4 @@
     found = estimate_wait(
         NoReplicaReason.NO_MODEL, asked, records=[engine()], weights=None, waited_s=0.0, now_s=0.0
     )
-    assert not waits(found, budget(), 0.1)
+    assert not should_wait(found, budget(), 0.1)
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -93,8 +93,8 @@
 def test_a_limit_is_read_from_decimal_numbers_and_from_nothing_else(value, per_s):
     word = read_signals(200, [(b"Crowsill-Server-Limit", value)], HeaderNames(), 0.0)
     assert word.limit_per_s == per_s
-    assert word.names_limit
-    assert bool(word.unread) is (per_s is None)
+    assert word.has_limit_header
+    assert bool(word.unreadable) is (per_s is None)
 
 
 def test_of_two_limits_in_one_answer_the_lower_one_holds():
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -14,8 +14,8 @@
 
 from crowsill.gateway.availability import ExclusionReason
 from crowsill.gateway.headers import HeaderNames
-from crowsill.gateway.holding import MOST_WAITING_TO_OPEN
 from crowsill.gateway.replica_signals import read_signals
+from crowsill.gateway.wait_decision import MAX_WAITING_TO_OPEN
 from crowsill.model.instances import HeldModel, InstanceState
 from crowsill.routing.retry_after import LONGEST_REST_S
 from crowsill_lab.bench import returns
@@ -82,21 +82,21 @@
     word = read_signals(503, headers, HeaderNames(), wall_s=10.0)
     assert word.backoff_s == rest_s
     unreadable = {b"", b"-3", b"nan", b"inf", b"1_0", b"3, 4", b"soon"}
-    assert bool(word.unread) is bool(unreadable & set(values))
+    assert bool(word.unreadable) is bool(unreadable & set(values))
 
 
 @pytest.mark.parametrize(("value", "leaves"), [(b"1", True), (b"0", False), (b"yes", False)])
 def test_only_one_value_says_that_a_replica_leaves(value, leaves):
     word = read_signals(200, [(b"Crowsill-Server-Leaving", value)], HeaderNames(), 0.0)
     assert word.is_draining is leaves
-    assert bool(word.unread) is not leaves
+    assert bool(word.unreadable) is not leaves
 
 
 @given(st.integers(100, 599), st.lists(st.tuples(st.sampled_from([b"Retry-After"]), st.binary())))
 def test_no_bytes_end_in_an_error_or_a_rest_without_bound(status, headers):
     word = read_signals(status, headers, HeaderNames(), 1.7e9)
     assert 0.0 <= word.backoff_s <= LONGEST_REST_S
-    assert len(word.unread) < 100
+    assert len(word.unreadable) < 100
 
 
 # The gateway.
@@ -153,7 +153,7 @@
                 caller.send("once", f"r{number}")
             answers = [await caller.head() for caller in callers]
             statuses = sorted(status for status, _ in answers)
-            assert statuses == [200] * MOST_WAITING_TO_OPEN + [503] * 7
+            assert statuses == [200] * MAX_WAITING_TO_OPEN + [503] * 7
             told_s = [float(headers["retry-after"]) for status, headers in answers if status == 503]
             assert min(told_s) > 0.2 and len(set(told_s)) > 1
             assert here.role.registry.waiting_to_open.total() == 0
@@ -183,7 +183,7 @@
                     await asyncio.sleep(0.02)
             for model, asking in callers.items():
                 answers[model] = [(await caller.head())[0] for caller in asking]
-            expected = [200] * MOST_WAITING_TO_OPEN + [503] * (4 - MOST_WAITING_TO_OPEN)
+            expected = [200] * MAX_WAITING_TO_OPEN + [503] * (4 - MAX_WAITING_TO_OPEN)
             assert answers == {"m": expected, "n": expected}
 
     run(scenario())
