--- a/src/crowsill/gateway/attempt.py
+++ b/src/crowsill/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to a replica, and what came of it."""
+"""One attempt to run a request at a replica, and its result."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,20 +12,21 @@
 from crowsill.gateway.replica_signals import ReplicaSignals, read_signals
 from crowsill.gateway.response import LAST_CHUNK, encode_chunk, encode_head
 
-BUFFERED_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 NO_CONTENT_STATUSES = frozenset((204, 304))
-# Statuses that promise that a request was not run: never passed on without the replica's word.
-PROMISES = frozenset((408, 421, 429, 503))
+# Statuses from which a caller concludes that the request did not run. Without the replica's
+# `not_run` header such a response counts as a failure and is never relayed.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class AttemptResult(StrEnum):
     """How an attempt ended.
 
     Attributes:
-        COMPLETE: A whole answer of the replica, ready to be passed on or already passed on.
-        NOT_RUN: The replica said that it did not run the request.
-        FAILED: It ran, or may have run, and there is no answer that may be passed on.
-        TRUNCATED: Part of the answer has gone to the caller, and the rest will not come.
+        COMPLETE: The replica sent a complete response; it was relayed or is ready to be.
+        NOT_RUN: The replica reported that it did not run the request.
+        FAILED: The request ran, or may have run, and there is no response to relay.
+        TRUNCATED: Part of the response was relayed, and the rest is missing.
     """
 
     COMPLETE = "whole"
@@ -40,13 +41,13 @@
 
     Attributes:
         result: How it ended.
-        status: Status of the answer; 0 without one.
-        reason: Reason phrase of the answer.
-        headers: Its headers.
-        body: Its body, unless that was passed on as it came.
-        relayed: Whether the caller has received it already.
-        detail: What went wrong, for the log.
-        is_broken: Whether the replica closed the connection before its answer was whole.
+        status: HTTP status of the response; 0 without one.
+        reason: Reason phrase of the response.
+        headers: Headers of the response.
+        body: Body of the response; empty if it was streamed to the caller.
+        relayed: Whether the caller has received the response already.
+        detail: What failed, for the log.
+        is_broken: Whether the replica closed the connection before its response was complete.
     """
 
     result: AttemptResult
@@ -60,35 +61,37 @@
 
 
 class Attempt:
-    """Receives the answer of one replica; streams are passed on event by event.
+    """Receives the response of one replica; streams are relayed event by event.
 
     Attributes:
-        started_at_s: Clock when the attempt began.
-        sent_s: Clock when the request was sent; 0 before.
+        started_at_s: Monotonic time at which the attempt started.
+        sent_at_s: Monotonic time at which the request was sent; 0 before.
         connection: The connection in use, or None.
-        first_data_at_s: Clock when the first byte of the body came, or None.
-        on_first_data: Called when it has come.
-        on_gap: Called with each time between two pieces of the body, and the clock.
+        first_data_at_s: Monotonic time at which the first byte of the body arrived, or None.
+        on_first_data: Called at the first byte of the body.
+        on_gap: Called with the time between two pieces of the body, in seconds, and the monotonic
+            time.
         max_gap_s: Longest time between two pieces of the body.
-        relayed_bytes: Bytes of the body that have gone to the caller.
-        signals: What the head of the answer said of the replica.
-        on_signals: Called with the status and that as the head comes.
+        relayed_bytes: Bytes of the body that were sent to the caller.
+        signals: What the replica reports about itself in the head of the response.
+        on_signals: Called with the status and the signals when the head arrives.
+        ended: Resolves to the end of the attempt.
     """
 
     def __init__(
         self, caller: CallerConnection, names: HeaderNames, is_stream: bool, close_after: bool
     ) -> None:
-        """Make an attempt.
+        """Create an attempt.
 
         Args:
-            caller: Where the answer goes.
+            caller: Connection to which the response is written.
             names: Header names.
-            is_stream: Whether the body is passed on as it comes.
-            close_after: Whether the caller's connection ends with this answer.
+            is_stream: Whether the body is relayed as it arrives.
+            close_after: Whether the caller's connection closes after this response.
         """
         self._loop = asyncio.get_running_loop()
         self.started_at_s = self._loop.time()
-        self.sent_s = 0.0
+        self.sent_at_s = 0.0
         self._caller = caller
         self._names = names
         self._is_stream = is_stream
@@ -99,7 +102,7 @@
         self.ended: asyncio.Future[AttemptEnd] = self._loop.create_future()
         self.first_data_at_s: float | None = None
         self.max_gap_s = 0.0
-        self._last_data_s = 0.0
+        self._last_data_at_s = 0.0
         self.signals = ReplicaSignals()
         self.relayed_bytes = 0
         self.connection: ReplicaConnection | None = None
@@ -114,47 +117,48 @@
 
     @property
     def is_relaying(self) -> bool:
-        """Whether part of the answer has gone to the caller."""
+        """Whether part of the response has been sent to the caller."""
         return self._relaying
 
     @property
     def has_response(self) -> bool:
-        """Whether an answer, or its end, has come."""
-        # An exchange that is ended from outside cancels what it waited for. That is no answer:
-        # taken for one, no replica that said nothing was ever left out.
+        """Whether the head of a response, or the end of the attempt, was received."""
+        # A cancelled exchange cancels `ended`. That is not a response: if it counted as one, a
+        # silent replica would never be excluded.
         return self._status != 0 or (self.ended.done() and not self.ended.cancelled())
 
     @property
     def was_abandoned(self) -> bool:
-        """Whether the request was sent and its end was not waited for."""
-        return self.sent_s > 0.0 and (not self.ended.done() or self.ended.cancelled())
+        """Whether the request was sent and the exchange ended before the attempt did."""
+        return self.sent_at_s > 0.0 and (not self.ended.done() or self.ended.cancelled())
 
     # ResponseSink.
 
     def on_head(self, status: int, reason: bytes, headers: Headers) -> None:
-        """Take in the head of the answer."""
+        """Handle the head of the response."""
         self._status, self._reason, self._headers = status, reason, headers
         self.signals = read_signals(status, headers, self._names, wall_s())
         self.on_signals(status, self.signals)
-        self._may_relay = self._is_stream and 200 <= status < 300 and self._is_sound()
+        self._may_relay = self._is_stream and 200 <= status < 300 and self._is_acceptable()
 
-    def _is_sound(self) -> bool:
+    def _is_acceptable(self) -> bool:
+        """Whether the head has the replica's stamp and a request id, and no content encoding."""
         stamped = find_header(self._headers, self._names.stamp) is not None
         encoded = find_header(self._headers, b"content-encoding") is not None
-        answers = find_header(self._headers, self._names.request_id) is not None
-        return stamped and answers and not encoded
+        identified = find_header(self._headers, self._names.request_id) is not None
+        return stamped and identified and not encoded
 
     def on_data(self, data: bytes) -> None:
-        """Take in a piece of the body."""
+        """Handle a piece of the body: relay it, or buffer it."""
         now_s = self._loop.time()
         if self.first_data_at_s is None:
             self.first_data_at_s = now_s
             self.on_first_data()
         else:
-            gap_s = now_s - self._last_data_s
+            gap_s = now_s - self._last_data_at_s
             self.max_gap_s = max(self.max_gap_s, gap_s)
             self.on_gap(gap_s, now_s)
-        self._last_data_s = now_s
+        self._last_data_at_s = now_s
         if self._relaying:
             self._relay(data)
             return
@@ -164,7 +168,7 @@
             return
         self._body.append(data)
         self._body_bytes += len(data)
-        if self._body_bytes > BUFFERED_BYTES and self._is_sound():
+        if self._body_bytes > MAX_BUFFERED_BYTES and self._is_acceptable():
             self._start_relaying()
             self._relay(b"".join(self._body))
             self._body.clear()
@@ -187,32 +191,34 @@
         self._caller.write(encode_chunk(data) if self._chunked else data)
 
     def on_end(self) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete response."""
         if self._relaying:
             if self._chunked:
                 self._caller.write(LAST_CHUNK)
             self._end(AttemptEnd(AttemptResult.COMPLETE, self._status, relayed=True))
             return
-        self._end(self._judge())
+        self._end(self._classify())
 
-    def _judge(self) -> AttemptEnd:
+    def _classify(self) -> AttemptEnd:
         status, headers = self._status, self._headers
         not_run = find_header(headers, self._names.not_run) is not None or status == 421
         if not_run:
             return AttemptEnd(AttemptResult.NOT_RUN, status, detail=f"status {status}")
-        if status in PROMISES or not self._is_sound():
+        if status in NOT_RUN_STATUSES or not self._is_acceptable():
             return AttemptEnd(
-                AttemptResult.FAILED, status, detail=f"unsound answer, status {status}"
+                AttemptResult.FAILED, status, detail=f"unacceptable response, status {status}"
             )
         body = b"".join(self._body)
         return AttemptEnd(AttemptResult.COMPLETE, status, self._reason, headers, body)
 
-    def on_break(self, why: Break) -> None:
-        """The answer will not come whole."""
+    def on_break(self, reason: Break) -> None:
+        """Handle a response that broke off."""
         result = AttemptResult.TRUNCATED if self._relaying else AttemptResult.FAILED
-        broken = why in (Break.CLOSED, Break.RESET)
+        broken = reason in (Break.CLOSED, Break.RESET)
         relayed = self._relaying
-        self._end(AttemptEnd(result, self._status, relayed=relayed, detail=why, is_broken=broken))
+        self._end(
+            AttemptEnd(result, self._status, relayed=relayed, detail=reason, is_broken=broken)
+        )
 
     def _end(self, end: AttemptEnd) -> None:
         if not self.ended.done():
@@ -220,7 +226,7 @@
 
 
 def encode_complete_response(end: AttemptEnd, close: bool, is_head_request: bool) -> bytes:
-    """Encode a replica's whole answer for the caller, unchanged but for its framing."""
+    """Encode a replica's complete response for the caller, unchanged except for its framing."""
     headers = end_to_end_headers(end.headers or [])
     if is_head_request:
         length = find_header(end.headers or [], b"content-length")
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -48,7 +48,7 @@
     def on_end(self) -> None:
         self._end(CallResponse(self._status, self._headers, b"".join(self._body)))
 
-    def on_break(self, why: Break) -> None:
+    def on_break(self, reason: Break) -> None:
         self._end(None)
 
     def _end(self, answer: CallResponse | None) -> None:
--- a/src/crowsill/gateway/forwarding.py
+++ b/src/crowsill/gateway/forwarding.py
@@ -5,7 +5,7 @@
 from crowsill.gateway.headers import HeaderNames, end_to_end_headers
 from crowsill.gateway.request import CallerRequest
 
-MOST_PATIENT_RANK = 9
+MAX_RANK = 9
 METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")
 
 
@@ -16,7 +16,7 @@
     Attributes:
         replica: The replica that is to run it, and no other.
         rank: Its rank; 0 is the most urgent.
-        left_s: Time that is left for it.
+        remaining_s: Time that is left for it.
         is_keyed: Whether callers show keys: then neither the key nor the tenant that a caller names
             is passed on.
         tenant: Tenant that it counts to; empty for none.
@@ -24,12 +24,14 @@
 
     replica: str
     rank: int
-    left_s: float
+    remaining_s: float
     is_keyed: bool = False
     tenant: str = ""
 
 
-def encode_forwarded(request: CallerRequest, names: HeaderNames, terms: ForwardingTerms) -> bytes:
+def encode_forwarded_request(
+    request: CallerRequest, names: HeaderNames, terms: ForwardingTerms
+) -> bytes:
     """Return the bytes of a request for one instance.
 
     Args:
@@ -43,10 +45,10 @@
     headers = end_to_end_headers(request.headers, names.reserved.union(set_here))
     if terms.tenant:
         headers.append((names.tenant, terms.tenant.encode()))
-    headers.append((names.deadline, b"%d" % max(1, int(terms.left_s * 1000))))
+    headers.append((names.deadline, b"%d" % max(1, int(terms.remaining_s * 1000))))
     headers.append((names.expect_instance, terms.replica.encode()))
     if request.model:
-        headers.append((names.priority, b"%d" % min(MOST_PATIENT_RANK, terms.rank)))
+        headers.append((names.priority, b"%d" % min(MAX_RANK, terms.rank)))
     if request.body or request.method in METHODS_WITH_BODY:
         headers.append((b"Content-Length", b"%d" % len(request.body)))
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -1,6 +1,7 @@
-"""How a request ends for its caller: a replica's answer, a refusal, or a break that shows as one.
+"""Ends a request for its caller: with a replica's response, a rejection, or a closed connection.
 
-A refusal says "not run" only when that is known, and then when to come back.
+A rejection reports "not run" only when that is known, and then carries a `Retry-After`. A response
+that was relayed in part ends with an aborted connection, so that it can't pass for a complete one.
 """
 
 from crowsill.errors import ErrorKind, Problem
@@ -14,8 +15,8 @@
 from crowsill.gateway.selection import NoChoice
 from crowsill.gateway.waiting import RefusedRequest
 
-# When to come back where a request was not sent within its time.
-FULL_RETRY_S = 0.3
+# `Retry-After` of a request that was not sent before its deadline.
+NOT_SENT_RETRY_S = 0.3
 
 
 class Outcome:
@@ -35,20 +36,20 @@
         self._progress = progress
         self._log = log
 
-    def closes(self) -> bool:
-        """Whether the caller's connection ends with this answer."""
+    def closes_connection(self) -> bool:
+        """Whether the caller's connection closes after this response."""
         return self._context.is_stopping() or not self._request.keep_alive
 
-    def conclude(self, end: AttemptEnd) -> None:
-        """Pass on what the last attempt brought."""
+    def respond(self, end: AttemptEnd) -> None:
+        """Respond to the caller with the result of the last attempt."""
         if end.result is AttemptResult.TRUNCATED:
-            self._log_refused("answer_cut", end.detail)
+            self._log_rejected("answer_cut", end.detail)
             self._caller.abort()
             return
         if end.result is AttemptResult.FAILED:
-            self.refuse(ErrorKind.BACKEND_FAILED, f"the replica failed: {end.detail}")
+            self.reject(ErrorKind.BACKEND_FAILED, f"the replica failed: {end.detail}")
             return
-        close = self.closes()
+        close = self.closes_connection()
         if not end.relayed:
             is_head = self._request.method == b"HEAD"
             self._caller.write(encode_complete_response(end, close, is_head))
@@ -56,10 +57,10 @@
         self._caller.finish(not close)
 
     def give_up(self, refused: RefusedRequest) -> None:
-        """Refuse because no replica takes the request."""
+        """Reject the request because no replica can take it."""
         why = refused.why
         if self._progress.may_have_run:
-            self.refuse(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {why}")
+            self.reject(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {why}")
             return
         kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last}"
         if why is NoChoice.NO_MODEL:
@@ -68,48 +69,54 @@
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
         elif why is NoChoice.ALL_CLOSED:
             detail = refused.detail or "every replica that could run it is closed for a moment"
-        self.refuse(kind, detail, round(refused.back_s, 2))
+        self.reject(kind, detail, round(refused.back_s, 2))
 
     def time_out(self) -> None:
-        """End the request because its time, or that of the process, is over."""
+        """End the request at its deadline, or because the process stops."""
         if self._caller.is_closed or not self._caller.is_busy:
             return
         attempt: Attempt | None = self._progress.attempt
         if attempt is not None and attempt.is_relaying:
-            self._log_refused(
+            self._log_rejected(
                 ErrorKind.ANSWER_TRUNCATED, f"cut after {attempt.relayed_bytes} bytes"
             )
             self._caller.abort()
             return
         if self._progress.may_have_run:
-            self.refuse(ErrorKind.DEADLINE_EXCEEDED, "no answer in time")
+            self.reject(ErrorKind.DEADLINE_EXCEEDED, "no response before the deadline")
         else:
-            self.refuse(ErrorKind.OVERLOADED, "not sent in time", FULL_RETRY_S)
+            self.reject(ErrorKind.OVERLOADED, "not sent in time", NOT_SENT_RETRY_S)
 
     def fail(self) -> bool:
-        """Answer that the gateway failed; return False where part of an answer has gone out.
+        """Respond with an internal error; return False if part of a response has been sent.
 
-        The answer promises nothing about the run: what failed is not known.
+        The response doesn't state whether the request ran, since that is not known.
         """
         attempt: Attempt | None = self._progress.attempt
         if self._caller.is_closed or not self._caller.is_busy:
             return False
         if attempt is not None and attempt.is_relaying:
             return False
-        self.refuse(ErrorKind.INTERNAL, "the gateway failed while it served the request")
+        self.reject(ErrorKind.INTERNAL, "the gateway failed while it served the request")
         return True
 
-    def refuse(self, kind: ErrorKind, detail: str, retry_after_s: float | None = None) -> None:
-        """Answer with an error of the closed list."""
-        self._log_refused(kind, detail, retry_after_s)
+    def reject(self, kind: ErrorKind, detail: str, retry_after_s: float | None = None) -> None:
+        """Respond with an error of the closed list.
+
+        Args:
+            kind: Selects the status and the body.
+            detail: One sentence for the caller.
+            retry_after_s: Value of `Retry-After` in seconds; None for that of `kind`.
+        """
+        self._log_rejected(kind, detail, retry_after_s)
         names = self._context.names
-        close = self.closes()
+        close = self.closes_connection()
         problem = Problem(kind, detail)
-        answer = encode_problem(
+        response = encode_problem(
             problem, self._request.request_id, names.request_id, close, retry_after_s
         )
-        self._caller.write(answer)
+        self._caller.write(response)
         self._caller.finish(not close)
 
-    def _log_refused(self, kind: str, detail: str, retry_after_s: float | None = None) -> None:
+    def _log_rejected(self, kind: str, detail: str, retry_after_s: float | None = None) -> None:
         self._log.log_rejected(kind, detail, self._progress, retry_after_s)
--- a/src/crowsill/gateway/rejection.py
+++ b/src/crowsill/gateway/rejection.py
@@ -1,4 +1,4 @@
-"""Why a gateway does not run a request, before any replica has had it."""
+"""A decision of the gateway not to send a request to any replica."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """One error of the closed list, on its way to a caller.
+    """An error of the closed list that is returned to the caller.
 
     Attributes:
-        kind: What the caller is told.
-        detail: One sentence for the reader of the answer; never contains a key.
-        retry_after_s: When to come back; None where the same request is of no use.
+        kind: The error.
+        detail: One sentence for the caller; never contains an API key.
+        retry_after_s: Seconds after which the caller may retry; None if a retry can't succeed.
     """
 
     kind: ErrorKind
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -46,7 +46,7 @@
             self._known = self._log.fingerprint
         return self._known
 
-    def quarantine(self) -> Rejection | None:
+    def quarantine_rejection(self) -> Rejection | None:
         """Return why the request may be sent to no replica, or None."""
         guard = self._context.crash_guard
         if not guard.has_suspects or not guard.is_quarantined(self._fingerprint):
@@ -55,7 +55,7 @@
         detail = f"replicas ended while they ran it; fingerprint {self._fingerprint.hex()}"
         return Rejection(ErrorKind.QUARANTINED, detail, QUARANTINE_RETRY_S)
 
-    async def admit_copy(self) -> Rejection | None:
+    async def await_duplicate(self) -> Rejection | None:
         """Wait while another sending of a suspect is under way here; return why not to send it.
 
         Before the count is known everywhere, copies sent side by side would end a replica each.
@@ -70,7 +70,7 @@
             if self._loop.time() >= until_s or self._context.is_stopping():
                 return _COPY_UNDER_WAY
             await self._context.wait_for_change(COPY_POLL_S)
-        return self.quarantine()
+        return self.quarantine_rejection()
 
     def begin(self) -> bool:
         """A sending begins; return whether `finish` is to be called as it ends."""
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -40,7 +40,7 @@
     def on_end(self) -> None:
         """The answer is whole."""
 
-    def on_break(self, why: Break) -> None:
+    def on_break(self, reason: Break) -> None:
         """The answer will not come whole."""
 
 
@@ -217,7 +217,7 @@
         if sink is not None:
             sink.on_end()
 
-    def _deliver_break(self, why: Break) -> None:
+    def _deliver_break(self, reason: Break) -> None:
         sink, self._sink = self._sink, None
         if sink is not None:
-            sink.on_break(why)
+            sink.on_break(reason)
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -325,7 +325,7 @@
         """Hold the replica back while its caller does not read."""
         running = self._exchanges.get(connection)
         if running is not None:
-            running[0].pause(not writable)
+            running[0].pause_replica(not writable)
 
     # Stopping.
 
@@ -359,7 +359,7 @@
         self._has_drained = True
         finished = not self._exchanges
         for exchange, task in list(self._exchanges.values()):
-            exchange.end_for_stop()
+            exchange.end_at_shutdown()
             task.cancel()
         await self._wait_until(lambda: not self._callers, loop.time() + STOP_FLUSH_S)
         event = Event.DRAIN_FINISHED if finished else Event.DRAIN_LIMIT
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to a replica that was chosen, and learns from what comes of it."""
+"""Sends one request to the chosen replica and records the result."""
 
 import asyncio
 import functools
@@ -8,7 +8,7 @@
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded
+from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded_request
 from crowsill.gateway.pool import ConnectError
 from crowsill.gateway.progress import PendingPrompt, Progress, Trial
 from crowsill.gateway.repeat_guard import RepeatGuard
@@ -24,7 +24,7 @@
 
 
 class Sender:
-    """Makes the sendings of one request, one after the other."""
+    """Runs the attempts of one request, one after the other."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         log: ExchangeLog,
         *,
         admission: Admission,
-        repeats: RepeatGuard,
+        repeat_guard: RepeatGuard,
     ) -> None:
         self._context = context
         self._caller = caller
@@ -43,63 +43,75 @@
         self._progress = progress
         self._log = log
         self._admission = admission
-        self._repeats = repeats
+        self._repeat_guard = repeat_guard
         self._feedback = ReplicaFeedback(context, request, progress, log)
         self._loop = asyncio.get_running_loop()
 
     async def send(
-        self, route: Route, choice: Choice, deadline_s: float, closes: bool
+        self, route: Route, choice: Choice, deadline_at_s: float, closes_connection: bool
     ) -> AttemptEnd | None:
-        """Send to a replica; None when nothing could be sent.
+        """Send the request to a replica; return None if nothing could be sent.
 
         Args:
             route: The request's route.
             choice: The replica.
-            deadline_s: Clock when the request's time is over.
-            closes: Whether the caller's connection ends with the answer.
+            deadline_at_s: Monotonic time of the request's deadline.
+            closes_connection: Whether the caller's connection closes after the response.
         """
-        is_begun = self._repeats.begin()
+        is_tracked = self._repeat_guard.begin()
         try:
-            granted_until_s = await self._granted_until_s(route, choice.record)
-            if granted_until_s is None:
+            grant_expires_at_s = await self._acquire_grant(route, choice.record)
+            if grant_expires_at_s is None:
                 return None
             self._log_routed(choice)
-            return await self._send_granted(route, choice, deadline_s, closes, granted_until_s)
+            return await self._send_with_grant(
+                route, choice, deadline_at_s, closes_connection, grant_expires_at_s
+            )
         finally:
-            if is_begun:
-                self._repeats.finish()
+            if is_tracked:
+                self._repeat_guard.finish()
 
-    async def _send_granted(
-        self, route: Route, choice: Choice, deadline_s: float, closes: bool, granted_until_s: float
+    async def _send_with_grant(
+        self,
+        route: Route,
+        choice: Choice,
+        deadline_at_s: float,
+        closes_connection: bool,
+        grant_expires_at_s: float,
     ) -> AttemptEnd | None:
-        """Send to a replica, as `send`, before a grant there is over."""
+        """Send the request as `send` does, unless the replica's grant expires first."""
         record, request, context = choice.record, self._request, self._context
         instance_id = record.instance.instance_id
         self._progress.tried.add(instance_id)
-        unread = max(0, request.prompt_tokens - choice.known_tokens)
+        unread_tokens = max(0, request.prompt_tokens - choice.known_tokens)
         record.in_flight += 1
-        prompt = PendingPrompt(record, unread, self._loop.time())
+        prompt = PendingPrompt(record, unread_tokens, self._loop.time())
         trial = Trial(record.availability)
         reusable = False
         connection = None
         try:
-            connection = await context.pool.acquire(record.instance, deadline_s - self._loop.time())
-            attempt = self._attempt_at(route, record, connection, closes)
+            connection = await context.pool.acquire(
+                record.instance, deadline_at_s - self._loop.time()
+            )
+            attempt = self._new_attempt(route, record, connection, closes_connection)
             attempt.on_first_data = prompt.read
-            attempt.on_signals = functools.partial(self._take_signals, record, trial, attempt)
-            # Looked at after the last wait: the connection may have taken a second to come up.
-            if self._admission.recheck() is not None or self._repeats.quarantine() is not None:
+            attempt.on_signals = functools.partial(self._handle_signals, record, trial, attempt)
+            # Checked again after the last wait: opening the connection may have taken a second.
+            if (
+                self._admission.recheck() is not None
+                or self._repeat_guard.quarantine_rejection() is not None
+            ):
                 return None
-            if not self._is_still_meant(record, granted_until_s):
+            if not self._is_still_sendable(record, grant_expires_at_s):
                 self._progress.tried.discard(instance_id)
                 reusable = True
                 return None
-            sent_s = self._transmit(route, record, attempt, connection, deadline_s)
+            sent_at_s = self._write_request(route, record, attempt, connection, deadline_at_s)
             end = await attempt.ended
             reusable = end.result in (AttemptResult.COMPLETE, AttemptResult.NOT_RUN)
-            self._feedback.learn(choice, attempt, end, sent_s)
-            self._repeats.learn(record.instance, end, sent_s)
-            self._feedback.note_pressure(route, attempt, sent_s)
+            self._feedback.learn(choice, attempt, end, sent_at_s)
+            self._repeat_guard.learn(record.instance, end, sent_at_s)
+            self._feedback.note_pressure(route, attempt, sent_at_s)
             return end
         except ConnectError as error:
             record.note_break(self._loop.time())
@@ -119,60 +131,62 @@
                 context.pool.release(instance_id, connection, reusable)
 
     def _log_routed(self, choice: Choice) -> None:
-        """Log that the request goes to a replica, and by which routes and directory."""
+        """Log the chosen replica and the versions of routes and directory it was chosen by."""
         context = self._context
         version = 0 if context.table is None else context.table.version
         self._log.log_routed(choice, self._progress.sendings + 1, version, context.book.version)
 
-    async def _granted_until_s(self, route: Route, record: ReplicaRecord) -> float | None:
-        """Return until when the request may be sent to a replica; None if it may not now.
+    async def _acquire_grant(self, route: Route, record: ReplicaRecord) -> float | None:
+        """Return until when the request may be sent to a replica; None if it may not be sent now.
 
-        A replica without a limit needs no grant; one that names its first while the request is on
-        its way there does.
+        A replica without a rate limit needs no grant. If it advertises its first limit before the
+        request is sent, the request needs one after all.
         """
         if not record.availability.limit.binds(self._loop.time()):
             return float("-inf")
         return await self._context.replica_grants.acquire(record, is_urgent(route))
 
-    def _is_still_meant(self, record: ReplicaRecord, granted_until_s: float) -> bool:
-        """Whether the replica that was chosen may still be sent the request."""
+    def _is_still_sendable(self, record: ReplicaRecord, grant_expires_at_s: float) -> bool:
+        """Whether the request may still be sent to the chosen replica."""
         now_s = self._loop.time()
         if self._context.book.find(record.instance.instance_id) is not record:
             return False
-        if record.availability.limit.binds(now_s) and now_s >= granted_until_s:
+        if record.availability.limit.binds(now_s) and now_s >= grant_expires_at_s:
             return False
         return record.availability.is_sendable(now_s)
 
-    def _attempt_at(
+    def _new_attempt(
         self,
         route: Route,
         record: ReplicaRecord,
         connection: ReplicaConnection,
-        closes: bool,
+        closes_connection: bool,
     ) -> Attempt:
-        """Make the present attempt, at a replica on a connection."""
+        """Create the current attempt at a replica on a connection."""
         is_stream = route.kind is RouteKind.STREAM
-        attempt = Attempt(self._caller, self._context.names, is_stream, closes)
+        attempt = Attempt(self._caller, self._context.names, is_stream, closes_connection)
         attempt.connection = connection
         if self._request.model:
             attempt.on_gap = record.note_gap
         self._progress.attempt = attempt
         return attempt
 
-    def _transmit(
+    def _write_request(
         self,
         route: Route,
         record: ReplicaRecord,
         attempt: Attempt,
         connection: ReplicaConnection,
-        deadline_s: float,
+        deadline_at_s: float,
     ) -> float:
-        """Hand the request's bytes to a connection; return the clock of that."""
+        """Write the request to a connection; return the monotonic time in seconds."""
         request = self._request
-        sent_s = attempt.sent_s = self._loop.time()
-        terms = self._terms(route, record.instance.replica_name, deadline_s - sent_s)
-        message = encode_forwarded(request, self._context.names, terms)
-        if record.availability.is_resting(sent_s):
+        sent_at_s = attempt.sent_at_s = self._loop.time()
+        terms = self._forwarding_terms(
+            route, record.instance.replica_name, deadline_at_s - sent_at_s
+        )
+        message = encode_forwarded_request(request, self._context.names, terms)
+        if record.availability.is_resting(sent_at_s):
             record.availability.sent_in_rest += 1
             SENT_IN_REST.inc()
         if record.availability.limit.holds:
@@ -181,9 +195,9 @@
         self._progress.sendings += 1
         self._progress.may_have_run = True
         connection.send(message, request.request_id, request.method == b"HEAD", attempt)
-        return sent_s
+        return sent_at_s
 
-    def _take_signals(
+    def _handle_signals(
         self,
         record: ReplicaRecord,
         trial: Trial,
@@ -191,25 +205,25 @@
         status: int,
         signals: ReplicaSignals,
     ) -> None:
-        """Take in the head of the answer to a sending."""
+        """Handle the signals in the head of a response."""
         trial.end()
-        self._feedback.take_signals(record, attempt.sent_s, status, signals)
+        self._feedback.take_signals(record, attempt.sent_at_s, status, signals)
         if signals.rest_s > 0.0:
-            # What it turned away may go there again when its rest is over.
+            # The replica rejected the request; it may get it again after its backoff.
             self._progress.tried.discard(record.instance.instance_id)
 
     def _end_attempt(self, record: ReplicaRecord) -> None:
-        """Learn from an attempt that is over, whoever ended it."""
+        """Record the end of an attempt, also of one that was cancelled."""
         attempt = self._progress.attempt
         if attempt is None:
             return
         self._feedback.notice_silence(record, attempt)
         if attempt.connection is not None and attempt.was_abandoned:
-            self._repeats.abandon(record.instance, attempt.sent_s)
+            self._repeat_guard.abandon(record.instance, attempt.sent_at_s)
         attempt.connection = None
 
-    def _terms(self, route: Route, replica: str, left_s: float) -> ForwardingTerms:
+    def _forwarding_terms(self, route: Route, replica: str, remaining_s: float) -> ForwardingTerms:
         admission = self._admission
         tenant = "" if admission.tenant is None else admission.tenant.name
         rank = admission.rank(route)
-        return ForwardingTerms(replica, rank, left_s, admission.is_keyed, tenant)
+        return ForwardingTerms(replica, rank, remaining_s, admission.is_keyed, tenant)
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded
+from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded_request
 from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.request import CallerRequest
 from tests.platform_site import ROOT
@@ -13,13 +13,13 @@
 
 from crowsill_platform.headers import HEADER_NAMES, RESERVED_NAMES
 
-TERMS = ForwardingTerms("i-1", rank=5, left_s=2.0)
+TERMS = ForwardingTerms("i-1", rank=5, remaining_s=2.0)
 
 
 def forwarded(headers, names=HEADER_NAMES, terms=TERMS):
     """Return the header lines that reach the replica, as lower-case pairs."""
     request = CallerRequest(b"POST", b"/draft/x", headers, b"pay", True, 0.0, model="m")
-    head, _, body = encode_forwarded(request, names, terms).partition(b"\r\n\r\n")
+    head, _, body = encode_forwarded_request(request, names, terms).partition(b"\r\n\r\n")
     assert body == b"pay"
     lines = [line.split(b": ", 1) for line in head.split(b"\r\n")[1:]]
     return [(name.lower(), value) for name, value in lines]
@@ -59,7 +59,7 @@
     assert (b"x-hold", b"h") in forwarded([(b"X-Hold", b"h")], HeaderNames())
 
 
-KEYED = ForwardingTerms("i-1", rank=5, left_s=2.0, is_keyed=True, tenant="depots")
+KEYED = ForwardingTerms("i-1", rank=5, remaining_s=2.0, is_keyed=True, tenant="depots")
 STOLEN = [
     (b"Authorization", b"Bearer secret"),
     (b"aUTHORIZATION", b"Bearer secret"),
@@ -77,7 +77,7 @@
 
 
 def test_a_caller_without_a_key_counts_to_no_tenant():
-    terms = ForwardingTerms("i-1", rank=5, left_s=2.0, is_keyed=True)
+    terms = ForwardingTerms("i-1", rank=5, remaining_s=2.0, is_keyed=True)
     names = [name for name, _ in forwarded(STOLEN, terms=terms)]
     assert HEADER_NAMES.tenant not in names and b"authorization" not in names
 
