--- a/src/crowsill/gateway/crash_guard.py
+++ b/src/crowsill/gateway/crash_guard.py
@@ -1,6 +1,7 @@
-"""What a gateway knows of requests under which replicas ended. Pure.
+"""What a gateway knows of requests that were running when replicas crashed. Pure.
 
-The group's record, and this gateway's own observations until they are part of it.
+It combines the control group's crash record with this gateway's own observations, which count until
+the group has recorded them.
 """
 
 from collections import Counter, OrderedDict
@@ -14,156 +15,166 @@
     is_another_end,
 )
 
-# Own observations that the group has not confirmed yet; a bound for a gateway without contact.
-MOST_OWN = 1000
-MOST_GOOD = 2000
+# Bound of own observations that the group has not confirmed yet; reached only without a connection
+# to the group.
+MAX_OWN_SUSPECTS = 1000
+MAX_REMEMBERED_SUCCESSES = 2000
 
 
 @dataclass(slots=True)
-class _OwnEnds:
-    """Ends that this gateway saw under one request, until the group has counted them."""
+class _OwnCrashes:
+    """Crashes that this gateway observed for one request and the group has not counted yet.
 
-    lives: set[str] = field(default_factory=set)
-    last_s: float = float("-inf")
+    Attributes:
+        instance_ids: Instances that crashed.
+        last_crash_at_s: Monotonic time of the last crash that was counted.
+    """
+
+    instance_ids: set[str] = field(default_factory=set)
+    last_crash_at_s: float = float("-inf")
 
 
 class CrashGuard:
-    """Decides what may be sent, by fingerprint.
+    """Decides by fingerprint which requests may be sent.
 
     Attributes:
-        version: Version of the group's record that was taken in last.
+        version: Version of the group's crash record that was adopted last.
 
     >>> guard = CrashGuard()
-    >>> for life, sent_s in (("a", 1), ("b", 2), ("c", 3)):
-    ...     guard.note_end(b"f", life, sent_s, sent_s + 0.1)
+    >>> for instance_id, sent_at_s in (("a", 1), ("b", 2), ("c", 3)):
+    ...     guard.note_crash(b"f", instance_id, sent_at_s, sent_at_s + 0.1)
     ...     print(guard.may_repeat(b"f"), guard.is_quarantined(b"f"))
     True False
     False False
     False True
     >>> guard.note_success(b"f", now_s=4.0), guard.is_quarantined(b"f")
     (False, False)
-    >>> guard.is_known_good(b"f", now_s=5.0), guard.is_known_good(b"f", now_s=99.0)
+    >>> guard.succeeded_recently(b"f", now_s=5.0), guard.succeeded_recently(b"f", now_s=99.0)
     (True, False)
     """
 
     def __init__(self) -> None:
         self.version = 0
         self._recorded: dict[bytes, set[str]] = {}
-        self._own: OrderedDict[bytes, _OwnEnds] = OrderedDict()
-        self._good_s: OrderedDict[bytes, float] = OrderedDict()
-        self._under_way: Counter[bytes] = Counter()
+        self._own: OrderedDict[bytes, _OwnCrashes] = OrderedDict()
+        self._succeeded_at_s: OrderedDict[bytes, float] = OrderedDict()
+        self._running_attempts: Counter[bytes] = Counter()
 
     @property
     def has_suspects(self) -> bool:
-        """Whether there is any request to look out for; if not, no fingerprint is needed."""
+        """Whether any request is a suspect; if not, no fingerprint has to be computed."""
         return bool(self._recorded or self._own)
 
-    def ends(self, fingerprint: bytes) -> int:
-        """Return how many replicas have ended under a request, as far as is known here."""
+    def crash_count(self, fingerprint: bytes) -> int:
+        """Return how many replicas are known to have crashed while they ran a request."""
         recorded = self._recorded.get(fingerprint, set())
         own = self._own.get(fingerprint)
-        return len(recorded if own is None else recorded | own.lives)
+        return len(recorded if own is None else recorded | own.instance_ids)
 
     def is_suspect(self, fingerprint: bytes) -> bool:
-        """Whether a replica has ended while it ran the request."""
-        return self.ends(fingerprint) > 0
+        """Whether a replica has crashed while it ran the request."""
+        return self.crash_count(fingerprint) > 0
 
     def may_repeat(self, fingerprint: bytes) -> bool:
-        """Whether a gateway may send the request again of its own accord."""
-        return self.ends(fingerprint) < REPEAT_LIMIT
+        """Whether a gateway may retry the request without the caller sending it again."""
+        return self.crash_count(fingerprint) < REPEAT_LIMIT
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
-        """Whether the request is to be sent to no replica.
+        """Whether the request may be sent to no replica.
 
-        By the group's count, or by what this gateway saw alone while it is out of touch: the sum of
-        both may hold two ends of one moment, which are not to be counted twice.
+        Either the group's count or this gateway's own count must reach the limit. Their union is
+        not used, because it may hold two crashes of the same moment, which count only once.
         """
         own = self._own.get(fingerprint)
-        most = max(len(self._recorded.get(fingerprint, ())), 0 if own is None else len(own.lives))
-        return most >= CRASH_LIMIT
+        highest_count = max(
+            len(self._recorded.get(fingerprint, ())), 0 if own is None else len(own.instance_ids)
+        )
+        return highest_count >= CRASH_LIMIT
 
-    def adopt(self, change: SuspectChange, whole: bool) -> None:
-        """Take in a change of the group's record.
+    def adopt(self, change: SuspectChange, is_full: bool) -> None:
+        """Apply a change of the group's crash record.
 
         Args:
             change: The change.
-            whole: Whether it holds everything.
+            is_full: Whether the change contains the complete record.
         """
-        if change.version < self.version or (change.version == self.version and not whole):
+        if change.version < self.version or (change.version == self.version and not is_full):
             return
         self.version = change.version
-        if whole:
+        if is_full:
             self._recorded.clear()
         for item in change.changed:
-            self._take(item.fingerprint, set(item.ends))
+            self._set_recorded(item.fingerprint, set(item.ends))
 
-    def _take(self, fingerprint: bytes, ends: set[str]) -> None:
-        if not ends:
+    def _set_recorded(self, fingerprint: bytes, instance_ids: set[str]) -> None:
+        if not instance_ids:
             self._recorded.pop(fingerprint, None)
             self._own.pop(fingerprint, None)
             return
-        self._recorded[fingerprint] = ends
+        self._recorded[fingerprint] = instance_ids
 
-    def note_end(self, fingerprint: bytes, life: str, sent_s: float, ended_s: float) -> None:
-        """A replica ended while it ran the request, by this gateway's own observation.
+    def note_crash(
+        self, fingerprint: bytes, instance_id: str, sent_at_s: float, crashed_at_s: float
+    ) -> None:
+        """Record that this gateway observed a replica crash while it ran the request.
 
         Args:
             fingerprint: The request.
-            life: The replica's life that ended.
-            sent_s: Clock when the request was sent there.
-            ended_s: Clock when the replica ended.
+            instance_id: The instance that crashed.
+            sent_at_s: Monotonic time at which the request was sent to it.
+            crashed_at_s: Monotonic time of the crash.
         """
-        own = self._own.setdefault(fingerprint, _OwnEnds())
+        own = self._own.setdefault(fingerprint, _OwnCrashes())
         self._own.move_to_end(fingerprint)
-        if is_another_end(own.last_s, sent_s, ended_s):
-            own.lives.add(life)
-            own.last_s = ended_s
-        if len(self._own) > MOST_OWN:
+        if is_another_end(own.last_crash_at_s, sent_at_s, crashed_at_s):
+            own.instance_ids.add(instance_id)
+            own.last_crash_at_s = crashed_at_s
+        if len(self._own) > MAX_OWN_SUSPECTS:
             self._own.popitem(last=False)
 
-    def forget_own(self, fingerprint: bytes, life: str) -> None:
-        """The group has decided whether it counts an end that this gateway saw."""
+    def drop_own_crash(self, fingerprint: bytes, instance_id: str) -> None:
+        """Drop an own observation, because the group has decided whether it counts."""
         own = self._own.get(fingerprint)
         if own is None:
             return
-        own.lives.discard(life)
-        if not own.lives:
+        own.instance_ids.discard(instance_id)
+        if not own.instance_ids:
             del self._own[fingerprint]
 
-    def is_known_good(self, fingerprint: bytes, now_s: float) -> bool:
-        """Whether the request ended whole lately, at this gateway."""
-        return self.good_ago_s(fingerprint, now_s) < GOOD_LIFETIME_S
+    def succeeded_recently(self, fingerprint: bytes, now_s: float) -> bool:
+        """Whether the request got a complete response at this gateway recently."""
+        return self.seconds_since_success(fingerprint, now_s) < GOOD_LIFETIME_S
 
-    def good_ago_s(self, fingerprint: bytes, now_s: float) -> float:
-        """Return how long ago the request ended whole at this gateway; infinite if not known."""
-        return now_s - self._good_s.get(fingerprint, float("-inf"))
+    def seconds_since_success(self, fingerprint: bytes, now_s: float) -> float:
+        """Return the seconds since the request last succeeded here; infinite if it never did."""
+        return now_s - self._succeeded_at_s.get(fingerprint, float("-inf"))
 
     def note_success(self, fingerprint: bytes, now_s: float) -> bool:
-        """The request ended whole; return whether the group's record has to be told."""
-        self._good_s[fingerprint] = now_s
-        self._good_s.move_to_end(fingerprint)
-        if len(self._good_s) > MOST_GOOD:
-            self._good_s.popitem(last=False)
+        """Record a success; return whether it must be reported to clear the group's record."""
+        self._succeeded_at_s[fingerprint] = now_s
+        self._succeeded_at_s.move_to_end(fingerprint)
+        if len(self._succeeded_at_s) > MAX_REMEMBERED_SUCCESSES:
+            self._succeeded_at_s.popitem(last=False)
         self._own.pop(fingerprint, None)
         return self._recorded.pop(fingerprint, None) is not None
 
-    def forget(self, fingerprint: bytes) -> None:
-        """The request is no suspect here, whatever the group has recorded."""
+    def clear_suspect(self, fingerprint: bytes) -> None:
+        """Treat the request as no suspect, whatever the group has recorded."""
         self._own.pop(fingerprint, None)
         self._recorded.pop(fingerprint, None)
 
-    # One suspect runs at one place at a time, as far as one gateway can tell.
+    # A gateway runs at most one attempt of the same suspect at a time.
 
-    def is_under_way(self, fingerprint: bytes) -> bool:
-        """Whether a sending of this suspect is under way here."""
-        return self._under_way[fingerprint] > 0
+    def has_running_attempt(self, fingerprint: bytes) -> bool:
+        """Whether an attempt of this suspect is running at this gateway."""
+        return self._running_attempts[fingerprint] > 0
 
-    def begin(self, fingerprint: bytes) -> None:
-        """A sending begins."""
-        self._under_way[fingerprint] += 1
+    def begin_attempt(self, fingerprint: bytes) -> None:
+        """Count an attempt that begins."""
+        self._running_attempts[fingerprint] += 1
 
-    def finish(self, fingerprint: bytes) -> None:
-        """A sending has ended."""
-        self._under_way[fingerprint] -= 1
-        if self._under_way[fingerprint] <= 0:
-            del self._under_way[fingerprint]
+    def finish_attempt(self, fingerprint: bytes) -> None:
+        """Stop counting an attempt that has ended."""
+        self._running_attempts[fingerprint] -= 1
+        if self._running_attempts[fingerprint] <= 0:
+            del self._running_attempts[fingerprint]
--- a/src/crowsill/gateway/crash_watch.py
+++ b/src/crowsill/gateway/crash_watch.py
@@ -1,7 +1,7 @@
-"""Finds out whether a replica that broke an answer off has ended, and tells the group.
+"""Detects whether a replica whose response broke off has crashed, and reports it to the group.
 
-A broken answer alone says little: connections are reset, links are cut, answers are garbled. A
-replica that has ended has closed all of its connections, and its machine refuses new ones.
+A broken response alone proves little: connections are reset, links fail, responses are malformed. A
+replica counts as crashed if all of its connections are closed and its machine refuses new ones.
 """
 
 import asyncio
@@ -19,130 +19,146 @@
 from crowsill.transport.messages import Body, Submitted
 from crowsill.transport.replica_messages import ClearRequests, ReportCrash
 
-# Pauses before each question whether a port is still open. The end of one connection may be heard
-# before that of the others.
-CHECK_PAUSES_S = (0.0, 0.05, 0.2)
+# Delays before each check whether the replica's port is open. The close of one connection may be
+# received before that of the others.
+CHECK_DELAYS_S = (0.0, 0.05, 0.2)
 CHECK_TIMEOUT_S = 0.5
-# A caller's request waits so long for the answer: one round trip, and a second question.
-VERDICT_WAIT_S = 0.3
-ANSWER_TIMEOUT_S = 0.8
-TELL_AGAIN_S = 0.05
-# A report that nobody took for so long is given up: without a leader nobody else could learn of it,
-# and the next end under the same request makes another one.
-LONGEST_TELLING_S = 15.0
-# Whole answers are told together.
-CLEAR_PAUSE_S = 0.05
-MOST_IN_ONE_REPORT = 64
-# A request whose caller left is held against an end so long after: replicas drop it as its
-# connection closes, but not at once.
-LEFT_MEMORY_S = 1.0
-MOST_LEFT = 64
-REMEMBERED_ENDS = 1000
-
-Question = ReportCrash | ClearRequests
+# How long a caller's request waits for the check: one round trip and a second check.
+MAX_CRASH_CHECK_WAIT_S = 0.3
+RESPONSE_TIMEOUT_S = 0.8
+REPORT_RETRY_S = 0.05
+# A report that is not accepted within this time is dropped: without a leader no other gateway could
+# learn of it, and the next crash under the same request is reported again.
+MAX_REPORT_TIME_S = 15.0
+# Successes within this time are reported in one message.
+CLEAR_BATCH_DELAY_S = 0.05
+MAX_REQUESTS_PER_REPORT = 64
+# A request whose caller disconnected is a suspect if its replica crashes within this time: replicas
+# abort it when its connection closes, but not immediately.
+ABANDONED_MEMORY_S = 1.0
+MAX_ABANDONED_PER_INSTANCE = 64
+MAX_REMEMBERED_CRASHES = 1000
+
+GroupRequest = ReportCrash | ClearRequests
 
 
 class CrashWatch:
-    """Watches replicas that broke answers off."""
+    """Checks replicas whose responses broke off."""
 
     def __init__(
         self,
         pool: ConnectionPool,
         guard: CrashGuard,
-        ask: Callable[[Question, float], Awaitable[Body | None]],
-        on_ended: Callable[[str], None],
+        query: Callable[[GroupRequest, float], Awaitable[Body | None]],
+        on_crashed: Callable[[str], None],
     ) -> None:
-        """Make it.
+        """Create a watch.
 
         Args:
             pool: Connections to replicas.
-            guard: Told what ended under which request.
-            ask: Sends a question to the group; the reply, or None when there was none within the
-                time given.
-            on_ended: Receives the id of each instance that has ended.
+            guard: Receives each crash and the requests that were running.
+            query: Sends a request to the control group; returns the reply, or None if there was
+                none within the given seconds.
+            on_crashed: Receives the id of each instance that crashed.
         """
         self._pool = pool
         self._guard = guard
-        self._ask = ask
-        self._on_ended = on_ended
+        self._query = query
+        self._on_crashed = on_crashed
         self._loop = asyncio.get_running_loop()
         self._broken: dict[str, list[SuspectRequest]] = {}
-        self._broke_s: dict[str, float] = {}
-        # Requests whose callers left while a life ran them, each with the clock of that.
-        self._left: dict[str, deque[tuple[float, SuspectRequest]]] = {}
+        self._broke_at_s: dict[str, float] = {}
+        # By instance: requests whose callers disconnected while they ran, with the monotonic time.
+        self._abandoned: dict[str, deque[tuple[float, SuspectRequest]]] = {}
         self._checks: dict[str, asyncio.Task[bool]] = {}
-        self._ended: OrderedDict[str, None] = OrderedDict()
+        self._crashed: OrderedDict[str, None] = OrderedDict()
         self._cleared: set[bytes] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def note_break(self, instance: Instance, request: SuspectRequest) -> None:
-        """A replica broke the answer to a request off."""
-        # A replica that leaves ends with whatever it runs: a stop is no crash.
+    def note_broken_response(self, instance: Instance, request: SuspectRequest) -> None:
+        """Check a replica that broke off the response to a request."""
+        # A draining replica that stops with requests in flight has not crashed.
         if not instance.accepts_work:
             return
-        life = instance.instance_id
-        self._broken.setdefault(life, []).append(request)
-        self._broke_s.setdefault(life, self._loop.time())
-        if life in self._ended:
-            self._conclude(instance)
-        elif life not in self._checks:
-            self._begin_check(instance)
-
-    def _begin_check(self, instance: Instance) -> None:
-        life = instance.instance_id
+        instance_id = instance.instance_id
+        self._broken.setdefault(instance_id, []).append(request)
+        self._broke_at_s.setdefault(instance_id, self._loop.time())
+        if instance_id in self._crashed:
+            self._record_crash(instance)
+        elif instance_id not in self._checks:
+            self._start_check(instance)
+
+    def _start_check(self, instance: Instance) -> None:
+        instance_id = instance.instance_id
         check = asyncio.create_task(self._check(instance))
-        self._checks[life] = check
-        check.add_done_callback(lambda _done: self._checks.pop(life, None))
-
-    def note_left(self, instance: Instance, request: SuspectRequest) -> None:
-        """A caller left, or its time ended, while a replica ran its request."""
-        left = self._left.setdefault(instance.instance_id, deque(maxlen=MOST_LEFT))
-        left.append((self._loop.time(), request))
-
-    def note_refused(self, instance: Instance) -> None:
-        """A replica refused a connection: it may have ended under a request whose caller left."""
-        life = instance.instance_id
-        if not self._left_lately(life) or not instance.accepts_work or life in self._checks:
+        self._checks[instance_id] = check
+        check.add_done_callback(lambda _done: self._checks.pop(instance_id, None))
+
+    def note_abandoned(self, instance: Instance, request: SuspectRequest) -> None:
+        """Note that a caller disconnected, or its deadline passed, while a replica ran its request.
+
+        The closed connection hides a crash: only the next request finds the port closed.
+        """
+        abandoned = self._abandoned.setdefault(
+            instance.instance_id, deque(maxlen=MAX_ABANDONED_PER_INSTANCE)
+        )
+        abandoned.append((self._loop.time(), request))
+
+    def note_refused_connection(self, instance: Instance) -> None:
+        """Check a replica that refused a connection.
+
+        It may have crashed under a request whose caller disconnected.
+        """
+        instance_id = instance.instance_id
+        if (
+            not self._recently_abandoned(instance_id)
+            or not instance.accepts_work
+            or instance_id in self._checks
+        ):
             return
-        self._broke_s.setdefault(life, self._loop.time())
-        self._begin_check(instance)
+        self._broke_at_s.setdefault(instance_id, self._loop.time())
+        self._start_check(instance)
 
-    def _left_lately(self, life: str) -> list[SuspectRequest]:
-        """Return the requests whose callers left within `LEFT_MEMORY_S` before a life broke off."""
-        since_s = self._broke_s.get(life, self._loop.time()) - LEFT_MEMORY_S
-        return [request for left_s, request in self._left.get(life, ()) if left_s >= since_s]
+    def _recently_abandoned(self, instance_id: str) -> list[SuspectRequest]:
+        """Return requests abandoned within `ABANDONED_MEMORY_S` before the instance broke off."""
+        since_at_s = self._broke_at_s.get(instance_id, self._loop.time()) - ABANDONED_MEMORY_S
+        return [
+            request
+            for abandoned_at_s, request in self._abandoned.get(instance_id, ())
+            if abandoned_at_s >= since_at_s
+        ]
 
     @property
-    def has_untold(self) -> bool:
-        """Whether there is an end to find out, or something to tell the group."""
+    def has_pending_reports(self) -> bool:
+        """Whether a check or a report to the group is still running."""
         return bool(self._checks or self._tasks)
 
-    def forget(self, instance_id: str) -> None:
-        """A replica gets no more work."""
-        self._left.pop(instance_id, None)
+    def drop_replica(self, instance_id: str) -> None:
+        """Forget the abandoned requests of a replica that gets no more work."""
+        self._abandoned.pop(instance_id, None)
 
-    async def has_ended(self, instance_id: str) -> bool:
-        """Whether a replica that broke an answer off has ended, as soon as that is known."""
+    async def has_crashed(self, instance_id: str) -> bool:
+        """Whether a replica whose response broke off has crashed; waits for a running check."""
         check = self._checks.get(instance_id)
         if check is not None:
-            await asyncio.wait([check], timeout=VERDICT_WAIT_S)
-        return instance_id in self._ended
+            await asyncio.wait([check], timeout=MAX_CRASH_CHECK_WAIT_S)
+        return instance_id in self._crashed
 
     async def _check(self, instance: Instance) -> bool:
-        for pause_s in CHECK_PAUSES_S:
-            await asyncio.sleep(pause_s)
-            if not await self._is_refused(instance):
+        for delay_s in CHECK_DELAYS_S:
+            await asyncio.sleep(delay_s)
+            if not await self._refuses_connections(instance):
                 break
-            # A replica that refuses because it has too many connections still answers on others.
+            # A replica that refuses because it has too many connections still serves the others.
             if not self._pool.has_open(instance.instance_id):
-                self._conclude(instance)
+                self._record_crash(instance)
                 return True
         self._broken.pop(instance.instance_id, None)
-        self._broke_s.pop(instance.instance_id, None)
+        self._broke_at_s.pop(instance.instance_id, None)
         return False
 
-    async def _is_refused(self, instance: Instance) -> bool:
-        """Whether its machine says that nobody listens there; silence is no proof."""
+    async def _refuses_connections(self, instance: Instance) -> bool:
+        """Whether the replica's machine refuses the connection; a timeout is no proof."""
         try:
             connection = await self._pool.open_connection(instance, CHECK_TIMEOUT_S)
         except ConnectError as error:
@@ -150,92 +166,100 @@
         self._pool.release(instance.instance_id, connection, True)
         return False
 
-    def _conclude(self, instance: Instance) -> None:
-        """A replica has ended: count that for all that broke off there."""
-        life = instance.instance_id
-        if life not in self._ended:
-            self._ended[life] = None
-            if len(self._ended) > REMEMBERED_ENDS:
-                self._ended.popitem(last=False)
-            self._on_ended(life)
-        requests = self._suspects_of(self._broken.pop(life, []) + self._left_lately(life))
-        self._left.pop(life, None)
-        ended_s = self._broke_s.pop(life, self._loop.time())
+    def _record_crash(self, instance: Instance) -> None:
+        """Count the crash of a replica for all requests that it ran, and report it."""
+        instance_id = instance.instance_id
+        if instance_id not in self._crashed:
+            self._crashed[instance_id] = None
+            if len(self._crashed) > MAX_REMEMBERED_CRASHES:
+                self._crashed.popitem(last=False)
+            self._on_crashed(instance_id)
+        requests = self._select_suspects(
+            self._broken.pop(instance_id, []) + self._recently_abandoned(instance_id)
+        )
+        self._abandoned.pop(instance_id, None)
+        crashed_at_s = self._broke_at_s.pop(instance_id, self._loop.time())
         for request in requests:
-            self._guard.note_end(request.fingerprint, life, ended_s - request.ran_s, ended_s)
-        log_event(Event.REPLICA_ENDED, replica=life, requests=len(requests))
-        for start in range(0, len(requests), MOST_IN_ONE_REPORT):
-            part = requests[start : start + MOST_IN_ONE_REPORT]
-            self._start(self._tell_crash(life, part, ended_s))
+            self._guard.note_crash(
+                request.fingerprint, instance_id, crashed_at_s - request.ran_s, crashed_at_s
+            )
+        log_event(Event.REPLICA_ENDED, replica=instance_id, requests=len(requests))
+        for start in range(0, len(requests), MAX_REQUESTS_PER_REPORT):
+            part = requests[start : start + MAX_REQUESTS_PER_REPORT]
+            self._start_task(self._report_crash(instance_id, part, crashed_at_s))
 
-    def _suspects_of(self, requests: list[SuspectRequest]) -> list[SuspectRequest]:
-        """Return those that are suspects, and speak for the others.
+    def _select_suspects(self, requests: list[SuspectRequest]) -> list[SuspectRequest]:
+        """Return the requests that are suspects, and report the others as successful.
 
-        Said as soon as a replica ends: what is known of them goes with this process, and at other
-        gateways they would be held back for ends of other causes.
+        Successes are reported at the first crash: they are known only to this process, and without
+        them other gateways would quarantine such requests for crashes of other causes.
         """
         now_s = self._loop.time()
         suspects = []
         for request in requests:
-            if self._guard.is_known_good(request.fingerprint, now_s):
-                self._clear(request.fingerprint)
+            if self._guard.succeeded_recently(request.fingerprint, now_s):
+                self._clear_soon(request.fingerprint)
             else:
                 suspects.append(request)
         return suspects
 
-    async def _tell_crash(self, life: str, requests: list[SuspectRequest], ended_s: float) -> None:
-        await self._tell(lambda: ReportCrash(life, requests, self._loop.time() - ended_s))
-        # Told or given up: from now on what the group has recorded counts.
+    async def _report_crash(
+        self, instance_id: str, requests: list[SuspectRequest], crashed_at_s: float
+    ) -> None:
+        await self._report(
+            lambda: ReportCrash(instance_id, requests, self._loop.time() - crashed_at_s)
+        )
+        # Reported or dropped: from now on only the group's record counts.
         for request in requests:
-            self._guard.forget_own(request.fingerprint, life)
+            self._guard.drop_own_crash(request.fingerprint, instance_id)
 
     def note_success(self, fingerprint: bytes) -> None:
-        """A request ended whole: it is not what ends replicas."""
+        """Note a complete response, which clears the request of suspicion."""
         if self._guard.note_success(fingerprint, self._loop.time()):
-            self._clear(fingerprint)
+            self._clear_soon(fingerprint)
 
-    def adopt(self, change: SuspectChange, whole: bool) -> None:
-        """Take in a change of the group's record; speak for what ended whole here lately."""
-        self._guard.adopt(change, whole)
+    def adopt(self, change: SuspectChange, is_full: bool) -> None:
+        """Apply a change of the group's crash record; report suspects that succeeded recently."""
+        self._guard.adopt(change, is_full)
         now_s = self._loop.time()
         for item in change.changed:
-            if item.ends and self._guard.is_known_good(item.fingerprint, now_s):
-                self._guard.forget(item.fingerprint)
-                self._clear(item.fingerprint)
+            if item.ends and self._guard.succeeded_recently(item.fingerprint, now_s):
+                self._guard.clear_suspect(item.fingerprint)
+                self._clear_soon(item.fingerprint)
 
-    def _clear(self, fingerprint: bytes) -> None:
+    def _clear_soon(self, fingerprint: bytes) -> None:
         if not self._cleared:
-            self._start(self._tell_cleared())
+            self._start_task(self._report_cleared())
         self._cleared.add(fingerprint)
 
-    async def _tell_cleared(self) -> None:
-        await asyncio.sleep(CLEAR_PAUSE_S)
+    async def _report_cleared(self) -> None:
+        await asyncio.sleep(CLEAR_BATCH_DELAY_S)
         cleared, self._cleared = sorted(self._cleared), set()
-        for start in range(0, len(cleared), MOST_IN_ONE_REPORT):
-            part = cleared[start : start + MOST_IN_ONE_REPORT]
-            self._start(self._tell(functools.partial(self._clearance, part)))
+        for start in range(0, len(cleared), MAX_REQUESTS_PER_REPORT):
+            part = cleared[start : start + MAX_REQUESTS_PER_REPORT]
+            self._start_task(self._report(functools.partial(self._clear_message, part)))
 
-    def _clearance(self, fingerprints: list[bytes]) -> ClearRequests:
-        """Say how long ago each of them ended whole here."""
+    def _clear_message(self, fingerprints: list[bytes]) -> ClearRequests:
+        """Return the message that reports how long ago each request succeeded here."""
         now_s = self._loop.time()
         return ClearRequests(
-            fingerprints, [self._guard.good_ago_s(item, now_s) for item in fingerprints]
+            fingerprints, [self._guard.seconds_since_success(item, now_s) for item in fingerprints]
         )
 
-    async def _tell(self, question: Callable[[], Question]) -> None:
-        until_s = monotonic_s() + LONGEST_TELLING_S
-        while monotonic_s() < until_s:
-            if isinstance(await self._ask(question(), ANSWER_TIMEOUT_S), Submitted):
+    async def _report(self, make_request: Callable[[], GroupRequest]) -> None:
+        end_at_s = monotonic_s() + MAX_REPORT_TIME_S
+        while monotonic_s() < end_at_s:
+            if isinstance(await self._query(make_request(), RESPONSE_TIMEOUT_S), Submitted):
                 return
-            await asyncio.sleep(TELL_AGAIN_S)
+            await asyncio.sleep(REPORT_RETRY_S)
 
-    def _start(self, work: Awaitable[None]) -> None:
+    def _start_task(self, work: Awaitable[None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Give up what is not told yet."""
+        """Cancel running checks and reports."""
         tasks = [*self._tasks, *self._checks.values()]
         for task in tasks:
             task.cancel()
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -1,4 +1,4 @@
-"""What one exchange asks before each sending: has its request ended replicas before?"""
+"""Protects replicas from a request that crashed replicas before; checked before each attempt."""
 
 import asyncio
 
@@ -12,112 +12,119 @@
 from crowsill.model.instances import Instance
 from crowsill.model.suspects import LONGEST_PLACE, SuspectRequest
 
-# What is held back stays so for an hour (`ControlSettings.quarantine_s`) or until an operator lifts
-# it: no caller gains by coming back within minutes.
+# A quarantine lasts an hour (`ControlSettings.quarantine_s`) or until an operator lifts it, so a
+# retry within minutes can't succeed.
 QUARANTINE_RETRY_S = 300.0
-# A suspect waits so long for another sending of it that is under way here: most answers take less.
-COPY_WAIT_S = 1.0
-# Whole answers to requests up to this size are remembered, which takes 2 to 8 us each. What many
-# callers send alike is small; large prompts differ.
-REMEMBERED_BODY_BYTES = 1024
-COPY_POLL_S = 0.05
-COPY_RETRY_S = 1.0
-_COPY_UNDER_WAY = Rejection(
+# How long a suspect waits for a duplicate running at this gateway; most responses take less.
+MAX_DUPLICATE_WAIT_S = 1.0
+# Success is remembered for requests up to this size, which takes 2 to 8 us each. Identical requests
+# of many callers are small; large prompts differ.
+MAX_REMEMBERED_BODY_BYTES = 1024
+DUPLICATE_POLL_S = 0.05
+DUPLICATE_RETRY_S = 1.0
+_DUPLICATE_RUNNING = Rejection(
     ErrorKind.OVERLOADED,
-    "the same request is under way, and a replica ended while it ran before",
-    COPY_RETRY_S,
+    "a duplicate of this request is running, and a replica crashed while running it before",
+    DUPLICATE_RETRY_S,
 )
 
 
 class RepeatGuard:
-    """The guard of one request."""
+    """Decides for one request whether it may be sent, and reports how its attempts end."""
 
     def __init__(self, context: ExchangeContext, request: CallerRequest, log: ExchangeLog) -> None:
         self._context = context
         self._request = request
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._known: bytes | None = None
-        self._known_ends = 0
+        self._cached_fingerprint: bytes | None = None
+        self._known_crashes = 0
 
     @property
     def _fingerprint(self) -> bytes:
-        if self._known is None:
-            self._known = self._log.fingerprint
-        return self._known
+        if self._cached_fingerprint is None:
+            self._cached_fingerprint = self._log.fingerprint
+        return self._cached_fingerprint
 
     def quarantine_rejection(self) -> Rejection | None:
-        """Return why the request may be sent to no replica, or None."""
+        """Return a rejection if the request is quarantined, else None."""
         guard = self._context.crash_guard
         if not guard.has_suspects or not guard.is_quarantined(self._fingerprint):
             return None
-        # The fingerprint leads from here to the lines that tell why, and to the lifting of it.
-        detail = f"replicas ended while they ran it; fingerprint {self._fingerprint.hex()}"
+        # By the fingerprint an operator finds the log lines of the crashes, and lifts the
+        # quarantine.
+        detail = f"replicas crashed while running it; fingerprint {self._fingerprint.hex()}"
         return Rejection(ErrorKind.QUARANTINED, detail, QUARANTINE_RETRY_S)
 
     async def await_duplicate(self) -> Rejection | None:
-        """Wait while another sending of a suspect is under way here; return why not to send it.
+        """Wait while a duplicate of a suspect runs here; return a rejection if it may not be sent.
 
-        Before the count is known everywhere, copies sent side by side would end a replica each.
+        Duplicates sent side by side would crash a replica each before all gateways know the count.
         """
         guard = self._context.crash_guard
-        until_s = self._loop.time() + COPY_WAIT_S
+        end_at_s = self._loop.time() + MAX_DUPLICATE_WAIT_S
         while (
             guard.has_suspects
             and guard.is_suspect(self._fingerprint)
-            and guard.is_under_way(self._fingerprint)
+            and guard.has_running_attempt(self._fingerprint)
         ):
-            if self._loop.time() >= until_s or self._context.is_stopping():
-                return _COPY_UNDER_WAY
-            await self._context.wait_for_change(COPY_POLL_S)
+            if self._loop.time() >= end_at_s or self._context.is_stopping():
+                return _DUPLICATE_RUNNING
+            await self._context.wait_for_change(DUPLICATE_POLL_S)
         return self.quarantine_rejection()
 
-    def begin(self) -> bool:
-        """A sending begins; return whether `finish` is to be called as it ends."""
+    def begin_attempt(self) -> bool:
+        """Register an attempt; return whether `finish_attempt` must be called at its end."""
         guard = self._context.crash_guard
         if not guard.has_suspects:
-            self._known_ends = 0
+            self._known_crashes = 0
             return False
-        self._known_ends = guard.ends(self._fingerprint)
-        guard.begin(self._fingerprint)
+        self._known_crashes = guard.crash_count(self._fingerprint)
+        guard.begin_attempt(self._fingerprint)
         return True
 
-    def finish(self) -> None:
-        """A sending that was begun has ended."""
-        self._context.crash_guard.finish(self._fingerprint)
+    def finish_attempt(self) -> None:
+        """Unregister an attempt that has ended."""
+        self._context.crash_guard.finish_attempt(self._fingerprint)
 
-    def learn(self, instance: Instance, end: AttemptEnd, sent_s: float) -> None:
-        """Take in how a sending ended that was sent at a clock."""
+    def note_attempt_end(self, instance: Instance, end: AttemptEnd, sent_at_s: float) -> None:
+        """Report how an attempt ended.
+
+        Args:
+            instance: The replica.
+            end: The end of the attempt.
+            sent_at_s: Monotonic time at which the request was sent.
+        """
         watch, guard = self._context.crash_watch, self._context.crash_guard
         if end.is_broken:
-            watch.note_break(instance, self._suspect(sent_s))
+            watch.note_broken_response(instance, self._suspect_request(sent_at_s))
             return
-        is_good = end.result is AttemptResult.COMPLETE and end.status < FAILED_STATUS
-        is_small = len(self._request.body) <= REMEMBERED_BODY_BYTES
-        if is_good and (guard.has_suspects or is_small):
+        succeeded = end.result is AttemptResult.COMPLETE and end.status < FAILED_STATUS
+        is_small = len(self._request.body) <= MAX_REMEMBERED_BODY_BYTES
+        if succeeded and (guard.has_suspects or is_small):
             watch.note_success(self._fingerprint)
 
-    def abandon(self, instance: Instance, sent_s: float) -> None:
-        """A sending is given up before its end: the caller left, or its time is over."""
-        self._context.crash_watch.note_left(instance, self._suspect(sent_s))
+    def note_abandoned(self, instance: Instance, sent_at_s: float) -> None:
+        """Report an attempt whose caller disconnected, or whose deadline passed, before its end."""
+        self._context.crash_watch.note_abandoned(instance, self._suspect_request(sent_at_s))
 
-    def _suspect(self, sent_s: float) -> SuspectRequest:
+    def _suspect_request(self, sent_at_s: float) -> SuspectRequest:
         return SuspectRequest(
             self._fingerprint,
             self._log.request_id,
             f"{self._request.host}{self._request.path}"[:LONGEST_PLACE],
             self._log.service,
-            ran_s=self._loop.time() - sent_s,
-            known_ends=self._known_ends,
+            ran_s=self._loop.time() - sent_at_s,
+            known_ends=self._known_crashes,
         )
 
     async def may_repeat(self, instance: Instance, end: AttemptEnd) -> bool:
-        """Whether the request may go to another replica after such an end.
+        """Whether the request may be sent to another replica after an attempt ended like this.
 
-        A request that may be repeated three times would else end three replicas by itself.
+        Otherwise a single request with three attempts could crash three replicas.
         """
         if not end.is_broken:
             return True
-        if not await self._context.crash_watch.has_ended(instance.instance_id):
+        if not await self._context.crash_watch.has_crashed(instance.instance_id):
             return True
         return self._context.crash_guard.may_repeat(self._fingerprint)
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -116,7 +116,7 @@
         loop = asyncio.get_running_loop()
         self.pool = ConnectionPool(self.names)
         self.crash_watch = CrashWatch(
-            self.pool, self.crash_guard, self._follower.query, self._on_ended
+            self.pool, self.crash_guard, self._follower.query, self._on_crashed
         )
         self._watch = ReplicaWatch(self.book, self.pool, self._follower.send_notice, self._wake)
         listen = self._settings.callers
@@ -179,13 +179,13 @@
     def _on_directory(self, ended: list[str]) -> None:
         for instance_id in ended:
             self.pool.forget(instance_id)
-            self.crash_watch.forget(instance_id)
+            self.crash_watch.drop_replica(instance_id)
         self._wake()
 
     def _on_suspects(self, change: SuspectChange, whole: bool) -> None:
         self.crash_watch.adopt(change, whole)
 
-    def _on_ended(self, instance_id: str) -> None:
+    def _on_crashed(self, instance_id: str) -> None:
         record = self.book.find(instance_id)
         if record is not None:
             self.on_unreachable(record)
@@ -302,9 +302,9 @@
         exchange = Exchange(self, connection, request)
         task = asyncio.create_task(exchange.run())
         self._exchanges[connection] = (exchange, task)
-        task.add_done_callback(lambda done: self._ended(connection, done))
+        task.add_done_callback(lambda done: self._exchange_ended(connection, done))
 
-    def _ended(self, connection: CallerConnection, task: asyncio.Task[None]) -> None:
+    def _exchange_ended(self, connection: CallerConnection, task: asyncio.Task[None]) -> None:
         running = self._exchanges.get(connection)
         if running is not None and running[1] is task:
             del self._exchanges[connection]
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -58,7 +58,7 @@
             deadline_at_s: Monotonic time of the request's deadline.
             closes_connection: Whether the caller's connection closes after the response.
         """
-        is_tracked = self._repeat_guard.begin()
+        is_tracked = self._repeat_guard.begin_attempt()
         try:
             grant_expires_at_s = await self._acquire_grant(route, choice.record)
             if grant_expires_at_s is None:
@@ -69,7 +69,7 @@
             )
         finally:
             if is_tracked:
-                self._repeat_guard.finish()
+                self._repeat_guard.finish_attempt()
 
     async def _send_with_grant(
         self,
@@ -110,7 +110,7 @@
             end = await attempt.ended
             reusable = end.result in (AttemptResult.COMPLETE, AttemptResult.NOT_RUN)
             self._feedback.learn(choice, attempt, end, sent_at_s)
-            self._repeat_guard.learn(record.instance, end, sent_at_s)
+            self._repeat_guard.note_attempt_end(record.instance, end, sent_at_s)
             self._feedback.note_pressure(route, attempt, sent_at_s)
             return end
         except ConnectError as error:
@@ -219,7 +219,7 @@
             return
         self._feedback.notice_silence(record, attempt)
         if attempt.connection is not None and attempt.was_abandoned:
-            self._repeat_guard.abandon(record.instance, attempt.sent_at_s)
+            self._repeat_guard.note_abandoned(record.instance, attempt.sent_at_s)
         attempt.connection = None
 
     def _forwarding_terms(self, route: Route, replica: str, remaining_s: float) -> ForwardingTerms:
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -77,5 +77,5 @@
 
 
 async def settle(watched):
-    await watched.watch.has_ended("i-1")
+    await watched.watch.has_crashed("i-1")
     await asyncio.sleep(0.05)
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from crowsill.gateway.crash_watch import LEFT_MEMORY_S, CrashWatch
+from crowsill.gateway.crash_watch import ABANDONED_MEMORY_S, CrashWatch
 from crowsill.model.instances import Instance, InstanceState
 from crowsill.model.suspects import CRASH_LIMIT
 from crowsill.state.commands import Acknowledged
@@ -42,14 +42,14 @@
         watched.pool.release("i-1", connection, True)
         await asyncio.sleep(0.05)
         port.end()
-        watched.watch.note_break(at(port), suspect())
-        watched.watch.note_break(at(port), suspect(b"g"))
+        watched.watch.note_broken_response(at(port), suspect())
+        watched.watch.note_broken_response(at(port), suspect(b"g"))
         await settle(watched)
         assert watched.ended == ["i-1"]
         reported = [item.fingerprint for told in watched.told for item in told.requests]
         assert sorted(reported) == [b"f", b"g"]
         # What is heard later of the same end is counted, too.
-        watched.watch.note_break(at(port), suspect(b"h"))
+        watched.watch.note_broken_response(at(port), suspect(b"h"))
         await asyncio.sleep(0.05)
         assert isinstance(watched.told[-1], ReportCrash) and watched.told[-1].life == "i-1"
         await watched.watch.stop()
@@ -64,7 +64,7 @@
         watched.pool.release("i-1", connection, True)
         await asyncio.sleep(0.05)
         port.close()
-        watched.watch.note_break(at(port), suspect())
+        watched.watch.note_broken_response(at(port), suspect())
         await settle(watched)
         assert (watched.ended, watched.told) == ([], [])
         assert not watched.guard.has_suspects
@@ -78,7 +78,7 @@
     async def scenario():
         port, watched = await Port().open(), Watched()
         port.end()
-        watched.watch.note_break(at(port, InstanceState.DRAINING), suspect())
+        watched.watch.note_broken_response(at(port, InstanceState.DRAINING), suspect())
         await settle(watched)
         assert (watched.ended, watched.told) == ([], [])
         await watched.watch.stop()
@@ -93,8 +93,8 @@
             port = await Port().open()
             port.end()
             life = Instance(f"i-{number}", "s", f"{LOCAL}:{port.port}", "z", 8)
-            watched.watch.note_break(life, suspect(ran_s=0.0))
-            await watched.watch.has_ended(life.instance_id)
+            watched.watch.note_broken_response(life, suspect(ran_s=0.0))
+            await watched.watch.has_crashed(life.instance_id)
         assert watched.guard.is_quarantined(b"f")
         watched.is_told = True
         await asyncio.sleep(0.2)
@@ -129,21 +129,21 @@
 
     async def scenario():
         port, watched = await Port().open(), Watched()
-        watched.watch.note_left(at(port), suspect(b"left"))
-        watched.watch.note_refused(at(port))
+        watched.watch.note_abandoned(at(port), suspect(b"left"))
+        watched.watch.note_refused_connection(at(port))
         await settle(watched)
         assert watched.told == [], "the port is open: it has not ended"
-        watched.watch.note_left(at(port), suspect(b"left"))
+        watched.watch.note_abandoned(at(port), suspect(b"left"))
         port.end()
-        watched.watch.note_refused(at(port))
+        watched.watch.note_refused_connection(at(port))
         await settle(watched)
         assert {item.fingerprint for told in watched.told for item in told.requests} == {b"left"}
         # What left long before has nothing to do with it.
         later = Instance("i-2", "s", f"{LOCAL}:{port.port}", "z", 8)
-        watched.watch.note_left(later, suspect(b"long ago"))
-        await asyncio.sleep(LEFT_MEMORY_S + 0.1)
-        watched.watch.note_refused(later)
-        await watched.watch.has_ended("i-2")
+        watched.watch.note_abandoned(later, suspect(b"long ago"))
+        await asyncio.sleep(ABANDONED_MEMORY_S + 0.1)
+        watched.watch.note_refused_connection(later)
+        await watched.watch.has_crashed("i-2")
         assert all(told.life != "i-2" for told in watched.told)
         await watched.watch.stop()
 
@@ -154,7 +154,7 @@
     async def scenario():
         async with world(silent) as played:
             left = []
-            played.role.crash_watch.note_left = lambda found, request: left.append(request)
+            played.role.crash_watch.note_abandoned = lambda found, request: left.append(request)
             caller = await played.caller()
             caller.send("once", "r1", b"slow")
             await asyncio.sleep(0.2)
@@ -185,7 +185,7 @@
             role.crash_watch = CrashWatch(role.pool, role.crash_guard, ask, lambda _life: None)
             port = await Port().open()
             port.end()
-            role.crash_watch.note_break(at(port), suspect())
+            role.crash_watch.note_broken_response(at(port), suspect())
             await asyncio.sleep(0.1)
             await role.drain()
             await role.crash_watch.stop()
--- a/tests/test_innocent_crowd.py
+++ b/tests/test_innocent_crowd.py
@@ -20,8 +20,8 @@
         port, watched = await Port().open(), Watched()
         watched.guard.note_success(b"popular", asyncio.get_running_loop().time())
         port.end()
-        watched.watch.note_break(at(port), suspect(b"popular"))
-        watched.watch.note_break(at(port), suspect(b"culprit"))
+        watched.watch.note_broken_response(at(port), suspect(b"popular"))
+        watched.watch.note_broken_response(at(port), suspect(b"culprit"))
         await settle(watched)
         reported = [item.fingerprint for told in watched.told for item in told.requests]
         assert reported == [b"culprit"]
@@ -57,10 +57,10 @@
             role = played.role
             caller = await played.caller()
             await caller.ask("once", "r1", b"small")
-            await caller.ask("once", "r2", b"x" * (repeat_guard.REMEMBERED_BODY_BYTES + 1))
+            await caller.ask("once", "r2", b"x" * (repeat_guard.MAX_REMEMBERED_BODY_BYTES + 1))
             now_s = asyncio.get_running_loop().time()
             small = request(target=b"/once/x?q=1", host="h.example", body=b"small")
-            assert role.crash_guard.is_known_good(role.fingerprints.of(small, ""), now_s)
-            assert len(role.crash_guard._good_s) == 1
+            assert role.crash_guard.succeeded_recently(role.fingerprints.of(small, ""), now_s)
+            assert len(role.crash_guard._succeeded_at_s) == 1
 
     run(scenario())
--- a/tests/test_proven_requests.py
+++ b/tests/test_proven_requests.py
@@ -34,7 +34,7 @@
     async def settle(self):
         """Wait until gateways have told what they saw, and apply it."""
         async with asyncio.timeout(LONGEST_SETTLING_S):
-            while any(gateway.watch.has_untold for gateway in self.gateways):
+            while any(gateway.watch.has_pending_reports for gateway in self.gateways):
                 await asyncio.sleep(0.01)
         for gateway in self.gateways:
             told, gateway.told = gateway.told, []
@@ -51,8 +51,8 @@
     port.end()
     instance = Instance(life, "s", f"{LOCAL}:{port.port}", "z", 8)
     for fingerprint in fingerprints:
-        gateway.watch.note_break(instance, suspect(fingerprint))
-    await gateway.watch.has_ended(life)
+        gateway.watch.note_broken_response(instance, suspect(fingerprint))
+    await gateway.watch.has_crashed(life)
     await group.settle()
     group.clock_s += 1.0
 
