--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -355,7 +355,7 @@
             await asyncio.sleep(STOP_POLL_S)
         # The end of a replica that only this process saw would count for nothing.
         tell_until_s = min(end_s, loop.time() + STOP_TELL_S)
-        await self._wait_until(lambda: not self.crash_watch.has_untold, tell_until_s)
+        await self._wait_until(lambda: not self.crash_watch.has_pending_reports, tell_until_s)
         self._has_drained = True
         finished = not self._exchanges
         for exchange, task in list(self._exchanges.values()):
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -116,7 +116,7 @@
         except ConnectError as error:
             record.note_break(self._loop.time())
             if error.is_refused:
-                context.crash_watch.note_refused(record.instance)
+                context.crash_watch.note_refused_connection(record.instance)
             context.on_unreachable(record)
             GATEWAY_ATTEMPTS.labels("unreachable").inc()
             self._progress.last = f"connect: {error}"
