--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -20,10 +20,10 @@
 from crowsill.gateway.repeat_guard import RepeatGuard
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.routing_table import GatewayTable, is_urgent, pick_service
+from crowsill.gateway.routing_table import GatewayRoutingTable, is_urgent, pick_service
 from crowsill.gateway.selection import (
     Choice,
-    NoChoice,
+    NoReplicaReason,
     SelectionLimits,
     choose,
 )
@@ -139,7 +139,7 @@
         else:
             self._outcome.reject(rejection.kind, rejection.detail, rejection.retry_after_s)
 
-    async def _wait_for_routes(self) -> GatewayTable | None:
+    async def _wait_for_routes(self) -> GatewayRoutingTable | None:
         """Return the routes, after a short wait if the process has just started."""
         context, request = self._context, self._request
         wait_s = MAX_ROUTES_WAIT_S
@@ -168,14 +168,14 @@
                 self._reject(rejection)
                 return
             choice = self._choose(route)
-            if isinstance(choice, NoChoice):
+            if isinstance(choice, NoReplicaReason):
                 if await waiting.wait(choice):
                     continue
                 self._outcome.give_up(waiting.give_up(choice, self._admission.rank(route)))
                 return
             is_retry = self._progress.sendings > 0
             if is_retry and not self._spend_retry():
-                why = NoChoice.ALL_TRIED
+                why = NoReplicaReason.ALL_TRIED
                 self._outcome.give_up(waiting.give_up(why, self._admission.rank(route)))
                 return
             if self._progress.may_have_run:
@@ -201,31 +201,33 @@
         if deadline_at_s > stop_at_s:
             # The expected duration is an estimate; only the deadline is a bound.
             return True
-        pace = self._context.book.pace(self._service)
-        duration_s = pace.stream_ms(self._request.model, self._request.output_tokens) / 1000.0
+        latency_model = self._context.registry.latency_model(self._service)
+        duration_s = (
+            latency_model.stream_ms(self._request.model, self._request.output_tokens) / 1000.0
+        )
         return self._loop.time() + duration_s * STREAM_DURATION_MARGIN > stop_at_s
 
-    def _choose(self, route: Route) -> Choice | NoChoice:
+    def _choose(self, route: Route) -> Choice | NoReplicaReason:
         context = self._context
         table = context.table
         definition = None if table is None else table.services.get(self._service)
         max_connections = 100 if definition is None else definition.max_connections
         share = int(max_connections * CONNECTION_SHARE / max(1, context.gateways))
-        longest_ms = float("inf")
+        max_expected_ms = float("inf")
         if self._request.model:
-            longest_ms = max(
+            max_expected_ms = max(
                 MIN_FIRST_EVENT_LIMIT_MS, route.target_latency_ms * MAX_FIRST_EVENT_TARGETS
             )
         limits = SelectionLimits(
             zone=context.zone,
             connections=max(MIN_CONNECTIONS, share),
-            longest_ms=longest_ms,
+            max_expected_ms=max_expected_ms,
             has_idle=context.pool.has_idle,
-            pace=context.book.pace(self._service),
+            latency_model=context.registry.latency_model(self._service),
             random=context.random,
             is_urgent=is_urgent(route),
         )
-        records = context.book.of_service(self._service)
+        records = context.registry.of_service(self._service)
         return choose(records, self._request, self._progress.tried, limits, self._loop.time())
 
     def _spend_retry(self) -> bool:
@@ -257,6 +259,6 @@
             return False
         budget = self._context.budget(self._service)
         left = budget.left(self._loop.time(), self._context.gateways)
-        if left < 1.0 or isinstance(self._choose(route), NoChoice):
+        if left < 1.0 or isinstance(self._choose(route), NoReplicaReason):
             return False
         return await self._repeat_guard.may_repeat(choice.record.instance, end)
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -12,7 +12,7 @@
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.response import encode_problem
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.selection import NoReplicaReason
 from crowsill.gateway.waiting import RefusedRequest
 
 # `Retry-After` of a request that was not sent before its deadline.
@@ -58,16 +58,16 @@
 
     def give_up(self, refused: RefusedRequest) -> None:
         """Reject the request because no replica can take it."""
-        why = refused.why
+        why = refused.reason
         if self._progress.may_have_run:
             self.reject(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {why}")
             return
         kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last}"
-        if why is NoChoice.NO_MODEL:
+        if why is NoReplicaReason.NO_MODEL:
             kind, detail = ErrorKind.NO_REPLICA, "no replica holds the model yet"
-        elif why is NoChoice.NO_REPLICA:
+        elif why is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
-        elif why is NoChoice.ALL_CLOSED:
+        elif why is NoReplicaReason.ALL_CLOSED:
             detail = refused.detail or "every replica that could run it is closed for a moment"
         self.reject(kind, detail, round(refused.back_s, 2))
 
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -10,11 +10,11 @@
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded_request
 from crowsill.gateway.pool import ConnectError
-from crowsill.gateway.progress import PendingPrompt, Progress, Trial
+from crowsill.gateway.progress import PendingPrompt, Probe, Progress
 from crowsill.gateway.repeat_guard import RepeatGuard
-from crowsill.gateway.replica_book import ReplicaRecord
 from crowsill.gateway.replica_connection import ReplicaConnection
 from crowsill.gateway.replica_feedback import ReplicaFeedback
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.replica_signals import ReplicaSignals
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import is_urgent
@@ -86,7 +86,7 @@
         unread_tokens = max(0, request.prompt_tokens - choice.known_tokens)
         record.in_flight += 1
         prompt = PendingPrompt(record, unread_tokens, self._loop.time())
-        trial = Trial(record.availability)
+        probe = Probe(record.availability)
         reusable = False
         connection = None
         try:
@@ -95,7 +95,7 @@
             )
             attempt = self._new_attempt(route, record, connection, closes_connection)
             attempt.on_first_data = prompt.read
-            attempt.on_signals = functools.partial(self._handle_signals, record, trial, attempt)
+            attempt.on_signals = functools.partial(self._handle_signals, record, probe, attempt)
             # Checked again after the last wait: opening the connection may have taken a second.
             if (
                 self._admission.recheck() is not None
@@ -114,7 +114,7 @@
             self._feedback.note_pressure(route, attempt, sent_at_s)
             return end
         except ConnectError as error:
-            record.note_break(self._loop.time())
+            record.note_failure(self._loop.time())
             if error.is_refused:
                 context.crash_watch.note_refused_connection(record.instance)
             context.on_unreachable(record)
@@ -125,7 +125,7 @@
         finally:
             record.in_flight -= 1
             prompt.read()
-            trial.end()
+            probe.end()
             self._end_attempt(record)
             if connection is not None:
                 context.pool.release(instance_id, connection, reusable)
@@ -134,7 +134,7 @@
         """Log the chosen replica and the versions of routes and directory it was chosen by."""
         context = self._context
         version = 0 if context.table is None else context.table.version
-        self._log.log_routed(choice, self._progress.sendings + 1, version, context.book.version)
+        self._log.log_routed(choice, self._progress.sendings + 1, version, context.registry.version)
 
     async def _acquire_grant(self, route: Route, record: ReplicaRecord) -> float | None:
         """Return until when the request may be sent to a replica; None if it may not be sent now.
@@ -149,11 +149,11 @@
     def _is_still_sendable(self, record: ReplicaRecord, grant_expires_at_s: float) -> bool:
         """Whether the request may still be sent to the chosen replica."""
         now_s = self._loop.time()
-        if self._context.book.find(record.instance.instance_id) is not record:
+        if self._context.registry.find(record.instance.instance_id) is not record:
             return False
         if record.availability.limit.binds(now_s) and now_s >= grant_expires_at_s:
             return False
-        return record.availability.is_sendable(now_s)
+        return record.availability.accepts_on_open_connection(now_s)
 
     def _new_attempt(
         self,
@@ -167,7 +167,7 @@
         attempt = Attempt(self._caller, self._context.names, is_stream, closes_connection)
         attempt.connection = connection
         if self._request.model:
-            attempt.on_gap = record.note_gap
+            attempt.on_gap = record.note_event_gap
         self._progress.attempt = attempt
         return attempt
 
@@ -186,8 +186,8 @@
             route, record.instance.replica_name, deadline_at_s - sent_at_s
         )
         message = encode_forwarded_request(request, self._context.names, terms)
-        if record.availability.is_resting(sent_at_s):
-            record.availability.sent_in_rest += 1
+        if record.availability.is_backing_off(sent_at_s):
+            record.availability.sent_in_backoff += 1
             SENT_IN_REST.inc()
         if record.availability.limit.holds:
             record.availability.sent_under_limit += 1
@@ -200,15 +200,15 @@
     def _handle_signals(
         self,
         record: ReplicaRecord,
-        trial: Trial,
+        probe: Probe,
         attempt: Attempt,
         status: int,
         signals: ReplicaSignals,
     ) -> None:
         """Handle the signals in the head of a response."""
-        trial.end()
+        probe.end()
         self._feedback.take_signals(record, attempt.sent_at_s, status, signals)
-        if signals.rest_s > 0.0:
+        if signals.backoff_s > 0.0:
             # The replica rejected the request; it may get it again after its backoff.
             self._progress.tried.discard(record.instance.instance_id)
 
