--- a/spec/lives.py
+++ b/spec/lives.py
@@ -8,7 +8,7 @@
 import msgspec
 from minicheck import Protocol
 
-from crowsill.model.instances import Beat, Instance, life_of
+from crowsill.model.instances import Instance, ReplicaHeartbeat, instance_id_of
 from crowsill.state.directory import Directory, DirectorySnapshot
 
 LAST_LIFE = 3
@@ -53,14 +53,20 @@
     return msgspec.msgpack.encode(msgspec.structs.replace(directory.dump(), version=0))
 
 
-def _beat(sent: Sent, by_name: bool) -> Beat:
+def _beat(sent: Sent, by_name: bool) -> ReplicaHeartbeat:
     life, count = sent
     born = None if by_name else life
     # The port tells the life in both variants.
     instance = Instance(
-        life_of(NAME, born), "s", f"10.0.0.1:{life}", "z", 1, replica=NAME, born_ms=born or 0
+        instance_id_of(NAME, born),
+        "s",
+        f"10.0.0.1:{life}",
+        "z",
+        1,
+        replica=NAME,
+        started_ms=born or 0,
     )
-    return Beat(instance, count)
+    return ReplicaHeartbeat(instance, count)
 
 
 def _known_life(directory: Directory) -> int:
--- a/src/crowsill/api/registrations.py
+++ b/src/crowsill/api/registrations.py
@@ -17,7 +17,7 @@
 from crowsill.constants import MAX_BODY_BYTES
 from crowsill.control.registrations import Registrations
 from crowsill.errors import ErrorKind, Problem
-from crowsill.model.instances import Beat, instance_fault
+from crowsill.model.instances import ReplicaHeartbeat, instance_fault
 
 
 class HeartbeatAnswer(msgspec.Struct, frozen=True):
@@ -78,13 +78,13 @@
     async def on_put(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, instance_id: str
     ) -> None:
-        """Take in a heartbeat: the JSON of a `Beat`."""
+        """Take in a heartbeat: the JSON of a `ReplicaHeartbeat`."""
         body = await read_body(request, MAX_BODY_BYTES)
         if not isinstance(body, Success):
             answer_problem(response, body.failure(), request_id_of(request))
             return
         try:
-            beat = msgspec.json.decode(body.unwrap(), type=Beat)
+            beat = msgspec.json.decode(body.unwrap(), type=ReplicaHeartbeat)
         except msgspec.DecodeError as error:
             problem = Problem(ErrorKind.INVALID_REQUEST, f"heartbeat: {error}")
             answer_problem(response, problem, request_id_of(request))
--- a/src/crowsill/backends/engine_calls.py
+++ b/src/crowsill/backends/engine_calls.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 from crowsill.state.commands import OrderKind
 
 
@@ -66,7 +66,7 @@
         sequence: Orders that it has accepted.
     """
 
-    models: list[HeldModel]
+    models: list[LoadedModel]
     coming: list[str]
     is_busy: bool
     sequence: int
--- a/src/crowsill/control/crash_notes.py
+++ b/src/crowsill/control/crash_notes.py
@@ -1,15 +1,17 @@
 """What gateways tell of requests and ended replicas, as commands for the replicated state. Pure."""
 
-from crowsill.state.commands import ClearSuspects, CrashNote, RecordCrash
+from crowsill.state.commands import ClearSuspects, CrashCommand, RecordCrash
 from crowsill.transport.replica_messages import ClearRequests, ReportCrash
 
 
-def note_of(question: ReportCrash | ClearRequests) -> CrashNote:
+def note_of(question: ReportCrash | ClearRequests) -> CrashCommand:
     """Return the command that has the group record what a gateway saw.
 
     >>> note_of(ClearRequests([b"f"], [2.0]))
-    ClearSuspects(fingerprints=[b'f'], why='answered whole', at_s=0.0, whole_ago_s=[2.0])
+    ClearSuspects(fingerprints=[b'f'], reason='answered whole', at_s=0.0, completed_ago_s=[2.0])
     """
     if isinstance(question, ReportCrash):
         return RecordCrash(question.life, question.requests, question.ago_s)
-    return ClearSuspects(question.fingerprints, "answered whole", whole_ago_s=question.whole_ago_s)
+    return ClearSuspects(
+        question.fingerprints, "answered whole", completed_ago_s=question.whole_ago_s
+    )
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -22,7 +22,7 @@
     CommandResult,
     decode_batch,
     encode_batch,
-    ends_sending,
+    stops_attempts,
 )
 from crowsill.state.machine import StateMachine
 from crowsill.storage.journal import Journal
@@ -270,7 +270,7 @@
             results.append(result)
             self._on_applied(command, result)
             # Followers apply with the leader's next message, and gateways send on until these have.
-            self._is_to_announce = self._is_to_announce or ends_sending(command)
+            self._is_to_announce = self._is_to_announce or stops_attempts(command)
         COMMITS.inc(len(results))
         return results
 
--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -16,7 +16,7 @@
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.metrics import ORDERS
-from crowsill.model.instances import ComingModel, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, LoadingModel
 from crowsill.placement.copy_views import Job
 from crowsill.state.commands import Command, OfferModels, OrderKind, RemoveInstance
 from crowsill.state.machine import StateMachine
@@ -117,15 +117,15 @@
         instance: Instance,
         engine: EngineAccount,
         withheld: tuple[str, ...],
-        coming: tuple[ComingModel, ...] = (),
+        coming: tuple[LoadingModel, ...] = (),
     ) -> None:
         """Commit what gateways may use at an engine, and what is on its way there."""
         offered = [
-            HeldModel(name, 1, sorted(item for item in names if f"{name}/{item}" not in withheld))
+            LoadedModel(name, 1, sorted(item for item in names if f"{name}/{item}" not in withheld))
             for name, names in engine.held.items()
             if name not in withheld
         ]
-        command = OfferModels(instance.instance_id, offered, coming=list(coming))
+        command = OfferModels(instance.instance_id, offered, loading=list(coming))
         reply = await self._ports.submit(command)
         if not isinstance(reply, Submitted):
             raise JobFailedError("the holdings could not be committed")
@@ -155,7 +155,7 @@
         else:
             # Gateways that know when a model will be there keep only those requests waiting that
             # it can still serve.
-            await self._tell(instance, engine, (), (ComingModel(job.model, job.load_s),))
+            await self._tell(instance, engine, (), (LoadingModel(job.model, job.load_s),))
             await self._wait_for(instance, engine, job.model, True, job.load_s)
             engine.held.setdefault(job.model, set())
         engine.loaded_s[resource] = monotonic_s()
@@ -281,7 +281,7 @@
             told = self._ports.machine.directory.find_reported(instance.instance_id)
             if told is None or self._ports.is_lost(instance.instance_id):
                 raise JobFailedError("the engine is gone")
-            if told.holds(model) is present:
+            if told.serves(model) is present:
                 return
             if monotonic_s() < next_report_s:
                 continue
--- a/src/crowsill/control/fleet_observer.py
+++ b/src/crowsill/control/fleet_observer.py
@@ -52,10 +52,10 @@
         """The merged state, or None before the first report."""
         if self.report is None:
             return None
-        if self.report.leaving or self.description.leaving:
+        if self.report.draining or self.description.draining:
             self.leaving_incarnation = self.report.incarnation
         leaving = self.leaving_incarnation == self.report.incarnation
-        report = msgspec.structs.replace(self.report, leaving=leaving)
+        report = msgspec.structs.replace(self.report, draining=leaving)
         reachable = self.failures < FAILURES_TO_UNREACHABLE
         return ReplicaState(self.description, report, reachable, number)
 
--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -21,8 +21,8 @@
 from crowsill.placement.copy_views import EngineView, Job, ServiceView
 from crowsill.placement.demand import DemandEstimate
 from crowsill.placement.load_window import LoadWindow
-from crowsill.state.commands import RecordLacked
-from crowsill.state.lacked_models import most_lacked
+from crowsill.state.commands import RecordMissingModels
+from crowsill.state.missing_models import most_requested
 
 PLAN_INTERVAL_S = 0.1
 # Pause after a step as a multiple of its own time: planning leaves most of the leader's time to
@@ -175,16 +175,16 @@
         if self._knows_lacked:
             return
         self._knows_lacked = True
-        for resource, count in self._ports.engines.machine.lacked.requests.items():
+        for resource, count in self._ports.engines.machine.missing_models.requests.items():
             self._missed[resource] = self._missed.get(resource, 0.0) + count
 
     async def _record_lacked(self) -> None:
         """Record what models lack for the next leader: each alone would forget it."""
         while True:
             await asyncio.sleep(RECORD_LACKED_S)
-            lacked = most_lacked(self._missed)
-            if self._knows_lacked and lacked != self._ports.engines.machine.lacked.requests:
-                await self._ports.engines.submit(RecordLacked(lacked))
+            lacked = most_requested(self._missed)
+            if self._knows_lacked and lacked != self._ports.engines.machine.missing_models.requests:
+                await self._ports.engines.submit(RecordMissingModels(lacked))
 
     def _step_contained(self) -> None:
         """Plan once; a fault in it must not end placement until the next change of leader."""
--- a/src/crowsill/control/operations.py
+++ b/src/crowsill/control/operations.py
@@ -207,16 +207,16 @@
     def quarantine(self) -> list[QuarantineLine]:
         """Requests under which replicas ended, as this member knows; those held back first."""
         suspects = self._machine.crashes.suspects
-        suspects.sort(key=lambda suspect: (not suspect.is_quarantined, suspect.last_s))
+        suspects.sort(key=lambda suspect: (not suspect.is_quarantined, suspect.last_crash_at_s))
         return [
             QuarantineLine(
                 fingerprint=suspect.request.fingerprint.hex(),
                 held_back=suspect.is_quarantined,
-                replicas=suspect.ends,
-                first_s=suspect.first_s,
-                last_s=suspect.last_s,
+                replicas=suspect.crashed_instances,
+                first_s=suspect.first_crash_at_s,
+                last_s=suspect.last_crash_at_s,
                 service=suspect.request.service,
-                place=suspect.request.place,
+                place=suspect.request.host_and_path,
                 request_id=suspect.request.request_id,
             )
             for suspect in suspects
--- a/src/crowsill/control/publisher.py
+++ b/src/crowsill/control/publisher.py
@@ -19,8 +19,8 @@
     DirectoryCommand,
     DrainInstance,
     PublishRoutes,
-    RecordBeat,
     RecordCrash,
+    RecordHeartbeat,
     RemoveInstance,
 )
 from crowsill.state.machine import StateMachine
@@ -68,8 +68,8 @@
                 log_event(Event.ROUTES_PUBLISHED, version=version, bytes=size)
                 ROUTES_VERSION.set(version)
                 self._push_routes_soon()
-            case RecordBeat():
-                instance = command.beat.instance
+            case RecordHeartbeat():
+                instance = command.heartbeat.instance
                 log_event(
                     Event.INSTANCE_RECORDED,
                     replica=instance.instance_id,
@@ -79,7 +79,7 @@
                     models=",".join(held.name for held in instance.models),
                     in_memory=",".join(instance.in_memory),
                     on_disk=",".join(instance.on_disk),
-                    sequence=command.beat.sequence,
+                    sequence=command.heartbeat.sequence,
                     directory=directory.version,
                 )
             case DrainInstance():
@@ -107,12 +107,14 @@
         if change is None:
             return
         QUARANTINED.set(sum(suspect.is_quarantined for suspect in record.suspects))
-        cleared = [item.fingerprint.hex() for item in change.changed if not item.ends]
+        cleared = [item.fingerprint.hex() for item in change.changed if not item.crashed_instances]
         if cleared:
-            why = command.why if isinstance(command, ClearSuspects) else "explained by others"
+            why = command.reason if isinstance(command, ClearSuspects) else "explained by others"
             log_event(Event.SUSPECTS_CLEARED, requests=",".join(cleared), why=why)
         if isinstance(command, RecordCrash):
-            log_event(Event.CRASH_RECORDED, replica=command.life, requests=len(command.requests))
+            log_event(
+                Event.CRASH_RECORDED, replica=command.instance_id, requests=len(command.requests)
+            )
             self._log_quarantined(command)
         self._subscribers.push_suspects(change)
 
@@ -120,15 +122,15 @@
         """Name each request that this end of a replica has put into quarantine."""
         for request in command.requests:
             suspect = self._machine.crashes.find(request.fingerprint)
-            if suspect is None or len(suspect.counted_ends) != CRASH_LIMIT:
+            if suspect is None or len(suspect.counted_crashes) != CRASH_LIMIT:
                 continue
             log_event(
                 Event.REQUEST_QUARANTINED,
                 fingerprint=request.fingerprint.hex(),
                 request=request.request_id,
-                place=request.place,
+                place=request.host_and_path,
                 service=request.service,
-                replicas=",".join(suspect.ends),
+                replicas=",".join(suspect.crashed_instances),
             )
 
     def _push_routes_soon(self) -> None:
--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -14,9 +14,14 @@
 from crowsill.errors import ErrorKind, Problem
 from crowsill.events import Event
 from crowsill.logs import log_event
-from crowsill.model.instances import Beat
-from crowsill.model.route_codec import RouteCodec, checked, pack, unpack
-from crowsill.state.commands import Command, PublishRoutes, RecordBeat, RemoveInstance
+from crowsill.model.instances import ReplicaHeartbeat
+from crowsill.model.route_codec import (
+    RouteCodec,
+    compress_document,
+    decode_and_check,
+    decompress_document,
+)
+from crowsill.state.commands import Command, PublishRoutes, RecordHeartbeat, RemoveInstance
 from crowsill.state.machine import StateMachine
 from crowsill.transport.connection import ConnectionLostError
 from crowsill.transport.messages import SubmitCommand, Submitted
@@ -76,7 +81,7 @@
             await asyncio.sleep(RETRY_S)
         return False
 
-    async def beat(self, beat: Beat) -> Result[str, Problem]:
+    async def beat(self, beat: ReplicaHeartbeat) -> Result[str, Problem]:
         """Take in a heartbeat.
 
         Returns:
@@ -98,7 +103,7 @@
             self._newest_sequence[instance_id] = beat.sequence
         if late or not directory.changes(beat):
             return Success(self._service.leader_host())
-        if not await self._commit(RecordBeat(beat), BEAT_TIMEOUT_S):
+        if not await self._commit(RecordHeartbeat(beat), BEAT_TIMEOUT_S):
             return Failure(Problem(ErrorKind.NO_LEADER, "no majority took the heartbeat in"))
         return Success(self._service.leader_host())
 
@@ -121,7 +126,7 @@
         if document.version == 0:
             return True
         if self._named_by != document.version:
-            decoded = self._codec.decode(unpack(document)).value_or(None)
+            decoded = self._codec.decode(decompress_document(document)).value_or(None)
             found = [] if decoded is None else [item.name for item in decoded.services]
             self._named_by, self._named = document.version, frozenset(found)
         return service in self._named
@@ -131,12 +136,12 @@
 
         A document whose version is not above the one held is acknowledged and changes nothing.
         """
-        decoded = checked(self._codec, content)
+        decoded = decode_and_check(self._codec, content)
         if not isinstance(decoded, Success):
             log_event(Event.ROUTES_REFUSED, bytes=len(content), detail=decoded.failure())
             return Failure(Problem(ErrorKind.CONFIGURATION_INVALID, decoded.failure()))
         version = decoded.unwrap().version
-        command = PublishRoutes(pack(version, content))
+        command = PublishRoutes(compress_document(version, content))
         if not await self._commit(command, PUBLISH_TIMEOUT_S):
             detail = f"version {version}: no majority confirmed it; it may be in force"
             log_event(Event.ROUTES_REFUSED, version=version, detail=detail)
@@ -152,4 +157,4 @@
         if not await self._service.has_applied(currency, deadline_s):
             return Failure(Problem(ErrorKind.NO_LEADER, "this member is behind"))
         document = self._machine.routes.current
-        return Success(PublishedRoutes(document.version, unpack(document)))
+        return Success(PublishedRoutes(document.version, decompress_document(document)))
--- a/src/crowsill/control/replica_grants.py
+++ b/src/crowsill/control/replica_grants.py
@@ -6,7 +6,7 @@
 from crowsill.control.replica_limits import ReplicaLimits
 from crowsill.events import Event
 from crowsill.logs import log_event
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import LimitReport
 from crowsill.tenancy.grant_ledger import GRANT_LIFETIME_S
 from crowsill.transport.connection import Connection
 from crowsill.transport.messages import Body, GrantReply, NotLeader
@@ -25,7 +25,7 @@
         self.limits = ReplicaLimits()
         self._term = 0
 
-    def note(self, words: list[LimitWord]) -> None:
+    def note(self, words: list[LimitReport]) -> None:
         """Take in what another process knows, and log what is new."""
         for instance_id in self.limits.note(words, monotonic_s()):
             per_s = self.limits.named_per_s(instance_id)
@@ -36,7 +36,7 @@
                 granted=self.limits.granted(instance_id),
             )
 
-    def told(self) -> list[LimitWord]:
+    def told(self) -> list[LimitReport]:
         """Return the limits that bind, for other processes."""
         return self.limits.told(monotonic_s())
 
--- a/src/crowsill/control/replica_limits.py
+++ b/src/crowsill/control/replica_limits.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, field
 
-from crowsill.model.replica_limits import MOST_TOLD, LimitWord
+from crowsill.model.replica_limits import MAX_REPORTED_LIMITS, LimitReport
 from crowsill.routing.named_limit import NamedLimit
 from crowsill.tenancy.grant_ledger import LONGEST_DELAY_S, GrantDecision
 
@@ -56,7 +56,7 @@
     >>> limits = ReplicaLimits()
     >>> limits.grant("i-1", 9.0)
     GrantDecision(is_granted=True, wait_s=0.0)
-    >>> limits.note([LimitWord("i-1", 2.0, named_ago_s=0.0)], now_s=10.0)
+    >>> limits.note([LimitReport("i-1", 2.0, advertised_ago_s=0.0)], now_s=10.0)
     ['i-1']
     >>> limits.grant("i-1", 10.25), limits.grant("i-1", 10.25).is_granted
     (GrantDecision(is_granted=True, wait_s=0.25), False)
@@ -72,7 +72,7 @@
         self._buckets.clear()
         self._term_s = now_s
 
-    def note(self, words: list[LimitWord], now_s: float) -> list[str]:
+    def note(self, words: list[LimitReport], now_s: float) -> list[str]:
         """Take in what another process knows; return the replicas whose limit is new or over."""
         changed: list[str] = []
         for word in words:
@@ -97,12 +97,12 @@
         bucket = self._buckets.get(instance_id)
         return 0 if bucket is None else bucket.granted
 
-    def told(self, now_s: float) -> list[LimitWord]:
+    def told(self, now_s: float) -> list[LimitReport]:
         """Return all that binds, for other processes, and forget the rest."""
         self._limits = {key: limit for key, limit in self._limits.items() if limit.binds(now_s)}
         self._buckets = {key: item for key, item in self._buckets.items() if key in self._limits}
         words = [limit.told(instance_id, now_s) for instance_id, limit in self._limits.items()]
-        return sorted(words, key=lambda word: word.named_ago_s)[:MOST_TOLD]
+        return sorted(words, key=lambda word: word.advertised_ago_s)[:MAX_REPORTED_LIMITS]
 
     def grant(self, instance_id: str, now_s: float, is_urgent: bool = True) -> GrantDecision:
         """Decide on one request at a replica.
--- a/src/crowsill/control/replica_overview.py
+++ b/src/crowsill/control/replica_overview.py
@@ -55,7 +55,7 @@
     found: dict[str, list[ExclusionLine]] = {}
     for entry in sorted(entries, key=lambda status: status.node):
         for told in entry.excluded:
-            line = ExclusionLine(entry.node, told.why, told.left_s)
+            line = ExclusionLine(entry.node, told.reason, told.remaining_s)
             found.setdefault(told.instance_id, []).append(line)
     lines = [
         RegisteredReplicaLine(
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -35,7 +35,7 @@
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.model.fleet import FleetView
-from crowsill.model.route_codec import unpack
+from crowsill.model.route_codec import decompress_document
 from crowsill.model.routes import RouteConfiguration
 from crowsill.platform_ports import PlatformPorts
 from crowsill.settings import ControlSettings, Settings
@@ -318,7 +318,7 @@
         if document.version == 0:
             return None
         if self._routes is None or self._routes.version != document.version:
-            self._routes = self._ports.codec.decode(unpack(document)).value_or(None)
+            self._routes = self._ports.codec.decode(decompress_document(document)).value_or(None)
         return self._routes
 
     def _lead_fleet(self, member: LeadingMember, backends: "HttpControl") -> None:
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -18,7 +18,7 @@
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.settings import Address
-from crowsill.state.commands import CrashNote, PublishRoutes
+from crowsill.state.commands import CrashCommand, PublishRoutes
 from crowsill.transport.connection import Connection, ConnectionLostError
 from crowsill.transport.group_contacts import GroupContacts
 from crowsill.transport.leader_client import format_address
@@ -287,7 +287,7 @@
             case _:
                 return await self._on_heartbeat(connection, question, driver)
 
-    async def _record(self, note: CrashNote) -> Body:
+    async def _record(self, note: CrashCommand) -> Body:
         """Have what a gateway saw committed; recorded twice it changes nothing more."""
         try:
             return await self.submit_anywhere(SubmitCommand(note))
--- a/src/crowsill/entry/role.py
+++ b/src/crowsill/entry/role.py
@@ -126,7 +126,7 @@
             report = state.report
             loads.reported(state.description.replica_id, report.running + report.waiting)
         for update in delta.loads:
-            name = self._follower.fleet.name_of.get(update.number)
+            name = self._follower.fleet.replica_id_by_number.get(update.number)
             if name is not None:
                 loads.reported(name, update.in_flight)
         if delta.changed or delta.removed:
--- a/src/crowsill/gateway/crash_guard.py
+++ b/src/crowsill/gateway/crash_guard.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 
 from crowsill.model.suspects import (
+    COMPLETION_VALIDITY_S,
     CRASH_LIMIT,
-    GOOD_LIFETIME_S,
-    REPEAT_LIMIT,
+    RETRY_CRASH_LIMIT,
     SuspectChange,
-    is_another_end,
+    is_independent_crash,
 )
 
 # Own observations that the group has not confirmed yet; a bound for a gateway without contact.
@@ -70,7 +70,7 @@
 
     def may_repeat(self, fingerprint: bytes) -> bool:
         """Whether a gateway may send the request again of its own accord."""
-        return self.ends(fingerprint) < REPEAT_LIMIT
+        return self.ends(fingerprint) < RETRY_CRASH_LIMIT
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
         """Whether the request is to be sent to no replica.
@@ -95,7 +95,7 @@
         if whole:
             self._recorded.clear()
         for item in change.changed:
-            self._take(item.fingerprint, set(item.ends))
+            self._take(item.fingerprint, set(item.crashed_instances))
 
     def _take(self, fingerprint: bytes, ends: set[str]) -> None:
         if not ends:
@@ -115,7 +115,7 @@
         """
         own = self._own.setdefault(fingerprint, _OwnEnds())
         self._own.move_to_end(fingerprint)
-        if is_another_end(own.last_s, sent_s, ended_s):
+        if is_independent_crash(own.last_s, sent_s, ended_s):
             own.lives.add(life)
             own.last_s = ended_s
         if len(self._own) > MOST_OWN:
@@ -132,7 +132,7 @@
 
     def is_known_good(self, fingerprint: bytes, now_s: float) -> bool:
         """Whether the request ended whole lately, at this gateway."""
-        return self.good_ago_s(fingerprint, now_s) < GOOD_LIFETIME_S
+        return self.good_ago_s(fingerprint, now_s) < COMPLETION_VALIDITY_S
 
     def good_ago_s(self, fingerprint: bytes, now_s: float) -> float:
         """Return how long ago the request ended whole at this gateway; infinite if not known."""
--- a/src/crowsill/gateway/crash_watch.py
+++ b/src/crowsill/gateway/crash_watch.py
@@ -199,7 +199,7 @@
         self._guard.adopt(change, whole)
         now_s = self._loop.time()
         for item in change.changed:
-            if item.ends and self._guard.is_known_good(item.fingerprint, now_s):
+            if item.crashed_instances and self._guard.is_known_good(item.fingerprint, now_s):
                 self._guard.forget(item.fingerprint)
                 self._clear(item.fingerprint)
 
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -10,7 +10,7 @@
 from crowsill.gateway.replica_feedback import FAILED_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.instances import Instance
-from crowsill.model.suspects import LONGEST_PLACE, SuspectRequest
+from crowsill.model.suspects import MAX_HOST_AND_PATH_LENGTH, SuspectRequest
 
 # What is held back stays so for an hour (`ControlSettings.quarantine_s`) or until an operator lifts
 # it: no caller gains by coming back within minutes.
@@ -105,10 +105,10 @@
         return SuspectRequest(
             self._fingerprint,
             self._log.request_id,
-            f"{self._request.host}{self._request.path}"[:LONGEST_PLACE],
+            f"{self._request.host}{self._request.path}"[:MAX_HOST_AND_PATH_LENGTH],
             self._log.service,
             ran_s=self._loop.time() - sent_s,
-            known_ends=self._known_ends,
+            known_crashes=self._known_ends,
         )
 
     async def may_repeat(self, instance: Instance, end: AttemptEnd) -> bool:
--- a/src/crowsill/gateway/replica_book.py
+++ b/src/crowsill/gateway/replica_book.py
@@ -7,10 +7,9 @@
 
 from crowsill.gateway.availability import Availability, ExclusionReason
 from crowsill.gateway.replica_signals import ReplicaLoad
-from crowsill.model.exclusions import MOST_TOLD, ExcludedReplica
+from crowsill.model.exclusions import MAX_REPORTED_EXCLUSIONS, ExcludedReplica
 from crowsill.model.instances import Instance, InstanceState
-from crowsill.model.replica_limits import MOST_TOLD as MOST_LIMITS_TOLD
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import MAX_REPORTED_LIMITS, LimitReport
 from crowsill.model.replica_use import NO_USE, ReplicaUse, UseByReplica
 from crowsill.routing.engine_pace import EngineDelay, EnginePace
 from crowsill.state.directory import DirectoryChange
@@ -151,7 +150,7 @@
         """Take in what is on its way; the first word on a load tells when it began."""
         self.ready_s = {
             model.name: self.ready_s.get(model.name, now_s + model.load_s)
-            for model in self.instance.coming
+            for model in self.instance.loading
         }
 
     def remember_part(self, key: PartKey) -> None:
@@ -190,7 +189,7 @@
         return self._by_service.get(service, [])
 
     def excluded(self, now_s: float) -> list[ExcludedReplica]:
-        """Return what is sent nothing now, and why; `MOST_TOLD` at most, the worst first."""
+        """Return at most `MAX_REPORTED_EXCLUSIONS` excluded replicas, the worst first."""
         order = list(ExclusionReason)
         found = [
             (order.index(exclusion.why), record.instance.instance_id, exclusion)
@@ -200,19 +199,19 @@
         found.sort(key=lambda item: item[:2])
         return [
             ExcludedReplica(instance_id, exclusion.why, exclusion.left_s(now_s))
-            for _, instance_id, exclusion in found[:MOST_TOLD]
+            for _, instance_id, exclusion in found[:MAX_REPORTED_EXCLUSIONS]
         ]
 
-    def limits(self, now_s: float) -> list[LimitWord]:
-        """Return the limits that bind, those named last first; `MOST_TOLD` at most."""
+    def limits(self, now_s: float) -> list[LimitReport]:
+        """Return the limits that bind, those named last first; `MAX_REPORTED_LIMITS` at most."""
         words = [
             record.availability.limit.told(instance_id, now_s)
             for instance_id, record in self._records.items()
             if record.availability.limit.binds(now_s)
         ]
-        return sorted(words, key=lambda word: word.named_ago_s)[:MOST_LIMITS_TOLD]
+        return sorted(words, key=lambda word: word.advertised_ago_s)[:MAX_REPORTED_LIMITS]
 
-    def note_limits(self, words: list[LimitWord], now_s: float) -> None:
+    def note_limits(self, words: list[LimitReport], now_s: float) -> None:
         """Take in what the group knows of limits."""
         for word in words:
             record = self._records.get(word.instance_id)
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -28,7 +28,7 @@
 from crowsill.gateway.routing_table import GatewayTable
 from crowsill.logs import log_event
 from crowsill.metrics import READY, ROUTES_VERSION
-from crowsill.model.route_codec import RouteCodec, unpack
+from crowsill.model.route_codec import RouteCodec, decompress_document
 from crowsill.model.routes import CallerLimits
 from crowsill.model.suspects import SuspectChange
 from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
@@ -164,7 +164,7 @@
     # What changes.
 
     def _on_routes(self, document: RouteDocument) -> None:
-        decoded = self._codec.decode(unpack(document)).value_or(None)
+        decoded = self._codec.decode(decompress_document(document)).value_or(None)
         if decoded is None:
             log_event(
                 Event.INTERNAL_ERROR, where="routes", error="an accepted document is unreadable"
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -332,4 +332,4 @@
     lacks = record.availability.lacks
     if lacks and (request.model in lacks or request.resource in lacks):
         return False
-    return record.instance.holds(request.model, request.adapter)
+    return record.instance.serves(request.model, request.adapter)
--- a/src/crowsill/gateway/wait_estimates.py
+++ b/src/crowsill/gateway/wait_estimates.py
@@ -74,7 +74,7 @@
 ) -> WaitEstimate:
     """When a replica may hold what the request needs."""
     accepting = [record for record in records if accepts(record)]
-    if any(record.instance.holds(request.model) for record in accepting):
+    if any(record.instance.serves(request.model) for record in accepting):
         # Only its adapter is missing.
         return _hoped(ADAPTER_S, CHANCE_ADAPTER, ADAPTER_S, ADAPTER_HALF_S, waited_s)
     due_s = [
--- a/src/crowsill/model/exclusions.py
+++ b/src/crowsill/model/exclusions.py
@@ -1,20 +1,21 @@
-"""Why replicas are not sent requests, as gateways say it of themselves."""
+"""Replicas that gateways exclude from routing, with the reason, as gateways report them."""
 
 import msgspec
 
-# A heartbeat of a gateway names so many at most: 16 of some 60 bytes, twice a second, are 2 KB/s.
-MOST_TOLD = 16
+# A gateway's heartbeat carries at most this many exclusions: 16 of about 60 bytes, twice a second,
+# are 2 KB/s.
+MAX_REPORTED_EXCLUSIONS = 16
 
 
 class ExcludedReplica(msgspec.Struct, frozen=True, array_like=True):
-    """One life of a replica to which a gateway sends nothing at present.
+    """One incarnation of a replica to which a gateway currently sends no requests.
 
     Attributes:
-        instance_id: The life.
-        why: Why not; a value of `gateway.availability.ExclusionReason`.
-        left_s: For how much longer; None where nobody can tell.
+        instance_id: Id of the incarnation.
+        reason: Reason for the exclusion; a value of `gateway.availability.ExclusionReason`.
+        remaining_s: Time until the exclusion ends; None if unknown.
     """
 
     instance_id: str
-    why: str
-    left_s: float | None = None
+    reason: str
+    remaining_s: float | None = None
--- a/src/crowsill/model/fleet.py
+++ b/src/crowsill/model/fleet.py
@@ -24,7 +24,7 @@
         memory_mib: Accelerator memory; 0 for a service.
         max_concurrency: Requests it runs at once.
         checks_fence: Whether it refuses orders older than the newest it has seen.
-        leaving: Whether the platform wants it gone.
+        draining: Whether the platform wants it gone.
     """
 
     replica_id: str
@@ -35,7 +35,7 @@
     memory_mib: int = 0
     max_concurrency: int = 8
     checks_fence: bool = True
-    leaving: bool = False
+    draining: bool = msgspec.field(default=False, name="leaving")
 
 
 class ReplicaReport(msgspec.Struct, frozen=True):
@@ -47,14 +47,14 @@
         loading: Names whose load has begun.
         running: Requests in execution.
         waiting: Requests queued inside the back end.
-        leaving: Whether it has been told to go.
+        draining: Whether it has been told to go.
     """
 
     incarnation: str
     resident: list[str] = []
     running: int = 0
     waiting: int = 0
-    leaving: bool = False
+    draining: bool = msgspec.field(default=False, name="leaving")
     loading: list[str] = []
 
 
@@ -76,7 +76,7 @@
     @property
     def accepts_work(self) -> bool:
         """Whether new requests may be sent to it."""
-        return self.reachable and not self.description.leaving and not self.report.leaving
+        return self.reachable and not self.description.draining and not self.report.draining
 
 
 class LoadUpdate(msgspec.Struct, frozen=True, array_like=True):
@@ -118,7 +118,7 @@
         self.epoch = 0
         self.sequence = 0
         self.replicas: dict[str, ReplicaState] = {}
-        self.name_of: dict[int, str] = {}
+        self.replica_id_by_number: dict[int, str] = {}
 
     def adopt(self, delta: FleetDelta) -> bool:
         """Apply a delta.
@@ -139,10 +139,10 @@
             return False
         if delta.full:
             self.replicas = {}
-            self.name_of = {}
+            self.replica_id_by_number = {}
         for state in delta.changed:
             self.replicas[state.description.replica_id] = state
-            self.name_of[state.number] = state.description.replica_id
+            self.replica_id_by_number[state.number] = state.description.replica_id
         for replica_id in delta.removed:
             self.replicas.pop(replica_id, None)
         self.epoch, self.sequence = position
--- a/src/crowsill/model/instances.py
+++ b/src/crowsill/model/instances.py
@@ -1,4 +1,4 @@
-"""Replicas that register themselves, as control members and entries know them."""
+"""Self-registered replicas, as control members, gateways and entries know them."""
 
 import functools
 import ipaddress
@@ -7,38 +7,38 @@
 
 import msgspec
 
-# Names of replicas go into a header of each request.
+# Each request carries the replica's name in a header, which restricts its characters.
 _REPLICA_NAME = re.compile(r"[A-Za-z0-9._:@-]+")
-LARGEST_PORT = 65535
-# Heartbeats repeat their names and addresses. Only texts that can be right are remembered: a
-# heartbeat may have 4 MiB.
-REMEMBERED_TEXTS = 4096
-LONGEST_NAME = 128
-LONGEST_ADDRESS = len("255.255.255.255:65535")
+MAX_PORT = 65535
+# Heartbeats repeat their names and addresses, so results of the syntax checks are cached. Only
+# texts within the length limits enter the cache, because a heartbeat may have 4 MiB.
+VALIDATION_CACHE_SIZE = 4096
+MAX_REPLICA_NAME_LENGTH = 128
+MAX_ADDRESS_LENGTH = len("255.255.255.255:65535")
 
 
 class InstanceState(StrEnum):
-    """Whether new work may go to an instance; it only ever moves down this list."""
+    """Whether an instance accepts new work; the state only moves down this list."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class HeldModel(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """A model that an engine holds, with the adapters beside it."""
+class LoadedModel(msgspec.Struct, frozen=True, gc=False, array_like=True):
+    """A model that an engine has loaded, with its loaded adapters."""
 
     name: str
     version: int = 1
     adapters: list[str] = []
 
 
-class ComingModel(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """A model whose load is under way at an engine.
+class LoadingModel(msgspec.Struct, frozen=True, gc=False, array_like=True):
+    """A model that an engine is loading.
 
     Attributes:
-        name: The model.
-        load_s: Expected time of the load, from its beginning.
+        name: Name of the model.
+        load_s: Expected duration of the whole load.
     """
 
     name: str
@@ -46,24 +46,24 @@
 
 
 class Instance(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """One life of one replica, as it describes itself.
+    """One incarnation of one replica, as it describes itself.
 
-    A replica may start again under its own name; then it holds and knows nothing of before. So all
-    that is known is kept by the id of a life.
+    A replica that restarts under the same name has lost its models and its state. So everything
+    known about a replica is keyed by the id of the incarnation.
 
     Attributes:
-        instance_id: Changes at each start of the replica; see `life_of`.
-        service: Service it belongs to.
+        instance_id: Id of the incarnation; see `instance_id_of`.
+        service: Service that the replica belongs to.
         address: `IP:port`.
-        zone: Site it stands in.
-        slots: Requests it works on at once.
-        state: Whether new work may go there.
-        models: What it holds, for an engine.
-        in_memory: Models with a copy in the machine's memory.
-        on_disk: Models with a copy on the machine's disk.
-        coming: Models whose load is under way, by the word of whoever places models.
-        replica: What it calls itself, if that outlasts a start; else empty.
-        born_ms: Unix milliseconds of its start; 0 where it does not tell.
+        zone: Site where the replica runs.
+        slots: Number of requests that the replica runs concurrently.
+        state: Whether it accepts new work.
+        models: Loaded models; only an engine has any.
+        in_memory: Models with a copy in the host's memory.
+        on_disk: Models with a copy on the host's disk.
+        loading: Models that are being loaded, as reported by the member that places models.
+        replica: Name of the replica, if it stays the same across restarts; otherwise empty.
+        started_ms: Start time in Unix milliseconds; 0 if the replica does not report it.
     """
 
     instance_id: str
@@ -72,16 +72,16 @@
     zone: str
     slots: int
     state: InstanceState = InstanceState.READY
-    models: list[HeldModel] = []
+    models: list[LoadedModel] = []
     in_memory: list[str] = []
     on_disk: list[str] = []
-    coming: list[ComingModel] = []
+    loading: list[LoadingModel] = []
     replica: str = ""
-    born_ms: int = 0
+    started_ms: int = 0
 
     @property
     def replica_name(self) -> str:
-        """What it calls itself, in calls to it and from it."""
+        """Name of the replica in calls to it and from it."""
         return self.replica or self.instance_id
 
     @property
@@ -89,71 +89,73 @@
         """Whether new requests may be sent to it."""
         return self.state is InstanceState.READY
 
-    def holds(self, model: str, adapter: str = "") -> bool:
-        """Whether it answers for a model, and for an adapter of it if one is named."""
-        for held in self.models:
-            if held.name == model:
-                return not adapter or adapter in held.adapters
+    def serves(self, model: str, adapter: str = "") -> bool:
+        """Return whether a model is loaded, and the adapter if one is given."""
+        for loaded in self.models:
+            if loaded.name == model:
+                return not adapter or adapter in loaded.adapters
         return False
 
 
-def life_of(replica: str, born_ms: int | None) -> str:
-    """Return the id of one life of a replica.
+def instance_id_of(replica: str, started_ms: int | None) -> str:
+    """Return the id of one incarnation of a replica.
 
-    >>> life_of("i-7", None), life_of("i-7", 1700000000000)
+    >>> instance_id_of("i-7", None), instance_id_of("i-7", 1700000000000)
     ('i-7', 'i-7@1700000000000')
     """
-    return replica if born_ms is None else f"{replica}@{born_ms}"
+    return replica if started_ms is None else f"{replica}@{started_ms}"
 
 
 def is_replica_name(text: str) -> bool:
-    """Whether a text may be a replica's name, or the id of one of its lives.
+    """Return whether a text is a valid replica name or instance id.
 
     >>> is_replica_name("i-7f3a91c2"), is_replica_name("i 7"), is_replica_name("")
     (True, False, False)
     """
-    return len(text) <= LONGEST_NAME and _has_letters_of_names(text)
+    return len(text) <= MAX_REPLICA_NAME_LENGTH and _matches_replica_name(text)
 
 
-@functools.lru_cache(REMEMBERED_TEXTS)
-def _has_letters_of_names(text: str) -> bool:
+@functools.lru_cache(VALIDATION_CACHE_SIZE)
+def _matches_replica_name(text: str) -> bool:
     return _REPLICA_NAME.fullmatch(text) is not None
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is `IP:port`.
+    """Return whether a text is `IP:port`.
 
     >>> is_address("10.0.0.1:80"), is_address("nowhere"), is_address("10.0.0.1:0")
     (True, False, False)
     """
-    return len(text) <= LONGEST_ADDRESS and _names_host_and_port(text)
+    return len(text) <= MAX_ADDRESS_LENGTH and _is_host_and_port(text)
 
 
-@functools.lru_cache(REMEMBERED_TEXTS)
-def _names_host_and_port(text: str) -> bool:
+@functools.lru_cache(VALIDATION_CACHE_SIZE)
+def _is_host_and_port(text: str) -> bool:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port) <= LARGEST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
 
 
 def instance_fault(instance: Instance) -> str | None:
-    """Return why a description names no replica to use, or None."""
+    """Return the first error in a replica's description, or None if it is valid."""
     if not is_replica_name(instance.instance_id) or not is_replica_name(instance.replica_name):
-        return f"a replica's name is 1 to {LONGEST_NAME} letters, digits and any of ._:@-"
+        return (
+            f"a replica's name is 1 to {MAX_REPLICA_NAME_LENGTH} letters, digits and any of ._:@-"
+        )
     if not instance.service:
         return "a replica belongs to a service"
     if not is_address(instance.address):
         return "the address is not IP:port"
-    if instance.slots < 1 or instance.born_ms < 0:
+    if instance.slots < 1 or instance.started_ms < 0:
         return "slots are at least 1, and a start is not below 0"
     return None
 
 
-class Beat(msgspec.Struct, frozen=True, gc=False):
-    """A heartbeat of a replica: its description and the number that orders its heartbeats."""
+class ReplicaHeartbeat(msgspec.Struct, frozen=True, gc=False):
+    """A heartbeat of a replica: its description and the sequence number of the heartbeat."""
 
     instance: Instance
     sequence: int
--- a/src/crowsill/model/replica_limits.py
+++ b/src/crowsill/model/replica_limits.py
@@ -1,23 +1,24 @@
-"""Limits that replicas name in their answers, as processes tell them to one another."""
+"""Rate limits that replicas advertise in responses, as processes report them to one another."""
 
 import msgspec
 
-# A message names so many at most, those named last: some 60 bytes each.
-MOST_TOLD = 64
+# A message carries at most this many limits, the most recently advertised ones: about 60 bytes
+# each.
+MAX_REPORTED_LIMITS = 64
 
 
-class LimitWord(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """What is known of the limit of one life of a replica. Ages are those when it is sent.
+class LimitReport(msgspec.Struct, frozen=True, gc=False, array_like=True):
+    """The known rate limit of one incarnation of a replica. Ages refer to the time of sending.
 
     Attributes:
-        instance_id: The life.
-        per_s: Requests a second that it takes from all gateways together.
-        named_ago_s: Seconds since an answer named it last.
-        ended_ago_s: Seconds since a request was sent whose answer named none; None without one
-            that is later than the last naming.
+        instance_id: Id of the incarnation.
+        per_s: Requests per second that the replica accepts from all gateways together.
+        advertised_ago_s: Seconds since a response last advertised the limit.
+        lifted_ago_s: Seconds since the sending of the latest request whose response advertised no
+            limit; None unless that is later than the last response that did.
     """
 
     instance_id: str
     per_s: float
-    named_ago_s: float
-    ended_ago_s: float | None = None
+    advertised_ago_s: float
+    lifted_ago_s: float | None = None
--- a/src/crowsill/model/replica_use.py
+++ b/src/crowsill/model/replica_use.py
@@ -1,14 +1,14 @@
-"""What gateways have at replicas: their outstanding requests, as they tell it to one another."""
+"""Use of replicas by gateways: outstanding requests, as gateways report them to one another."""
 
 import msgspec
 
 
 class ReplicaUse(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """What one gateway, or several, have at one replica.
+    """Outstanding work of one or several gateways at one replica.
 
     Attributes:
-        requests: Requests that were sent and have not ended.
-        prompt_tokens: Prompt tokens of those whose first event has not come.
+        requests: Requests that were sent and have not finished.
+        prompt_tokens: Prompt tokens of the requests that have not received a first event.
     """
 
     requests: int
@@ -17,7 +17,7 @@
 
 NO_USE = ReplicaUse(0)
 
-# Use by the life of a replica; what is not named is not in use.
+# Use by `instance_id`; a replica that is not listed is not in use.
 UseByReplica = dict[str, ReplicaUse]
 
 
--- a/src/crowsill/model/route_codec.py
+++ b/src/crowsill/model/route_codec.py
@@ -38,7 +38,7 @@
             return Failure(str(error))
 
 
-def checked(codec: RouteCodec, content: bytes) -> Result[RouteConfiguration, str]:
+def decode_and_check(codec: RouteCodec, content: bytes) -> Result[RouteConfiguration, str]:
     """Read a document and check what it says."""
     decoded = codec.decode(content)
     if not isinstance(decoded, Success):
@@ -47,15 +47,15 @@
     return Failure("; ".join(faults)) if faults else decoded
 
 
-def pack(version: int, content: bytes) -> RouteDocument:
+def compress_document(version: int, content: bytes) -> RouteDocument:
     """Return the document as the replicated state keeps it.
 
-    >>> unpack(pack(3, b"abc"))
+    >>> decompress_document(compress_document(3, b"abc"))
     b'abc'
     """
     return RouteDocument(version, zlib.compress(content, COMPRESSION_LEVEL))
 
 
-def unpack(document: RouteDocument) -> bytes:
+def decompress_document(document: RouteDocument) -> bytes:
     """Return a kept document as it was sent."""
     return zlib.decompress(document.content) if document.content else b""
--- a/src/crowsill/model/suspects.py
+++ b/src/crowsill/model/suspects.py
@@ -1,99 +1,108 @@
-"""Requests that were running where replicas ended, and what is counted of them."""
+"""Suspect requests: requests that were running on replicas that crashed."""
 
 import msgspec
 
-# So many replicas may end while they run a request; then it is held back. One end says nothing: up
-# to a hundred other requests ran there. Two can meet by chance while a request that ends replicas
-# is about, and its victims are sent again. The users allow three.
+# A request is quarantined after this many replicas crashed while they ran it. One crash proves
+# nothing: up to a hundred other requests ran on the replica. Two crashes can coincide while another
+# request crashes replicas and the requests it interrupted are retried. The requirement allows
+# three.
 CRASH_LIMIT = 3
-# A request under which so many replicas have ended is not repeated by a gateway of its own accord.
-REPEAT_LIMIT = 2
-LONGEST_PLACE = 120
-# A rack or a zone takes its replicas within milliseconds, and what is heard of it lies within
+# A gateway does not retry a request on its own once this many replicas crashed while they ran it.
+RETRY_CRASH_LIMIT = 2
+MAX_HOST_AND_PATH_LENGTH = 120
+# A failing rack or zone stops its replicas within milliseconds, and gateways detect that within
 # 0.25 s, the longest check of a port.
-SAME_MOMENT_S = 0.3
-# What ended whole so lately is no suspect: it does not end whoever runs it. Requests that many
-# callers send alike run wherever a replica ends, and with no replica left nothing could clear them
-# (57 of them refused in a soak of 9 s, 0 since). A new version of a service may change that.
-GOOD_LIFETIME_S = 60.0
+SIMULTANEOUS_CRASH_WINDOW_S = 0.3
+# A request that completed within this time is not a suspect: it evidently does not crash the
+# replica that runs it. Without this rule, identical requests sent by many callers, which run on
+# every replica that crashes, stay quarantined while no replica is left to clear them. The time is
+# bounded because a new version of a service may crash on a request that completed before.
+COMPLETION_VALIDITY_S = 60.0
 
 
-def is_another_end(last_end_s: float, sent_s: float, ended_s: float) -> bool:
-    """Whether the end of a replica counts beside the last one that was counted against a request.
+def is_independent_crash(last_crash_at_s: float, sent_at_s: float, crashed_at_s: float) -> bool:
+    """Return whether a crash counts against a request in addition to the last counted crash.
 
-    Requests that many callers send alike run at several replicas at once; where these end together,
-    that says nothing against the request. Times are of one clock.
+    Identical requests of many callers run on several replicas at once. If these replicas crash
+    together, that is no evidence against the request. All times are of the same clock.
 
     Args:
-        last_end_s: When the last replica ended that was counted.
-        sent_s: When the request was sent to this replica.
-        ended_s: When this replica ended.
-
-    >>> is_another_end(5.0, 4.9, 5.1), is_another_end(5.0, 5.01, 5.1), is_another_end(5.0, 4, 6)
-    (False, True, True)
+        last_crash_at_s: Time of the last crash that was counted.
+        sent_at_s: Time when the request was sent to this replica.
+        crashed_at_s: Time of this replica's crash.
+
+    >>> is_independent_crash(5.0, 4.9, 5.1), is_independent_crash(5.0, 5.01, 5.1)
+    (False, True)
+    >>> is_independent_crash(5.0, 4, 6)
+    True
     """
-    return sent_s >= last_end_s or abs(ended_s - last_end_s) >= SAME_MOMENT_S
+    return (
+        sent_at_s >= last_crash_at_s
+        or abs(crashed_at_s - last_crash_at_s) >= SIMULTANEOUS_CRASH_WINDOW_S
+    )
 
 
 class SuspectRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was running at a replica as that ended.
+    """A request that was running on a replica when the replica crashed.
 
     Attributes:
-        fingerprint: What it has in common with other sendings of the same request.
-        request_id: The caller's id of this sending, for whoever looks into it.
-        place: Host and path, cut to `LONGEST_PLACE` characters.
-        service: Its service.
-        ran_s: Time from its sending to the end of the replica.
-        known_ends: Ends under it that its gateway knew of as it was sent.
+        fingerprint: Hash that all attempts of the same request share.
+        request_id: The caller's id of this request, for diagnosis.
+        host_and_path: Host and path, cut to `MAX_HOST_AND_PATH_LENGTH` characters.
+        service: Service of the request.
+        ran_s: Time from the sending of the request to the crash.
+        known_crashes: Crashes under this request that the gateway knew of when it sent it.
     """
 
     fingerprint: bytes
     request_id: str
-    place: str
+    host_and_path: str
     service: str
     ran_s: float
-    known_ends: int = 0
+    known_crashes: int = 0
 
 
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one request that was running where replicas ended.
+    """The crash history of one suspect request.
 
     Attributes:
-        request: The sending under which a replica ended last.
-        ends: The lives of replicas that ended while they ran it.
-        first_s: Wall clock when the first end was recorded.
-        last_s: Wall clock of the last end that was counted.
-        ran_s: Time from its sending to each end, in the order of `ends`.
-        spared: The life whose end is held against another request alone; empty without.
+        request: The attempt during which a replica crashed last.
+        crashed_instances: Ids of the incarnations that crashed while they ran the request.
+        first_crash_at_s: Wall-clock time of the first crash.
+        last_crash_at_s: Wall-clock time of the last crash that was counted.
+        ran_s: Time from the sending of the request to each crash, in the order of
+            `crashed_instances`.
+        excused_instance: Incarnation whose crash is attributed to another request only; empty
+            if there is none.
     """
 
     request: SuspectRequest
-    ends: list[str]
-    first_s: float
-    last_s: float
+    crashed_instances: list[str]
+    first_crash_at_s: float
+    last_crash_at_s: float
     ran_s: list[float] = []
-    spared: str = ""
+    excused_instance: str = ""
 
     @property
-    def counted_ends(self) -> list[str]:
-        """The lives whose ends are held against it."""
-        return [life for life in self.ends if life != self.spared]
+    def counted_crashes(self) -> list[str]:
+        """Ids of the incarnations whose crash counts against the request."""
+        return [item for item in self.crashed_instances if item != self.excused_instance]
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it is held back."""
-        return len(self.counted_ends) >= CRASH_LIMIT
+        """Whether the request is quarantined."""
+        return len(self.counted_crashes) >= CRASH_LIMIT
 
 
-class SuspectEnds(msgspec.Struct, frozen=True, array_like=True):
-    """The lives of replicas that ended under one request; none when it is no longer suspect."""
+class SuspectCrashes(msgspec.Struct, frozen=True, array_like=True):
+    """Incarnations that crashed under one request; none if it is no longer a suspect."""
 
     fingerprint: bytes
-    ends: list[str]
+    crashed_instances: list[str]
 
 
 class SuspectChange(msgspec.Struct, frozen=True, array_like=True):
     """What one version of the crash record changed."""
 
     version: int
-    changed: list[SuspectEnds]
+    changed: list[SuspectCrashes]
--- a/src/crowsill/routing/named_limit.py
+++ b/src/crowsill/routing/named_limit.py
@@ -9,7 +9,7 @@
 import re
 from dataclasses import dataclass
 
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import LimitReport
 
 # After its end the rate doubles with each step, so that what had kept away does not come at once.
 RETURN_STEP_S = 1.0
@@ -99,24 +99,24 @@
     def _base_per_s(self) -> float:
         return self.per_s or TRIAL_PER_S
 
-    def told(self, instance_id: str, now_s: float) -> LimitWord:
+    def told(self, instance_id: str, now_s: float) -> LimitReport:
         """Return what is known, for another process; something was named."""
-        ended_ago_s = None if self.ended_s is None else now_s - self.ended_s
-        return LimitWord(instance_id, self.per_s or 0.0, now_s - self.named_s, ended_ago_s)
+        lifted_ago_s = None if self.ended_s is None else now_s - self.ended_s
+        return LimitReport(instance_id, self.per_s or 0.0, now_s - self.named_s, lifted_ago_s)
 
-    def merge(self, word: LimitWord, now_s: float) -> None:
+    def merge(self, word: LimitReport, now_s: float) -> None:
         """Take in what another process knows.
 
         >>> limit = NamedLimit(2.0, named_s=5.0)
-        >>> limit.merge(LimitWord("i-1", 1.0, named_ago_s=1.0), now_s=7.0)
+        >>> limit.merge(LimitReport("i-1", 1.0, advertised_ago_s=1.0), now_s=7.0)
         >>> limit
         NamedLimit(per_s=1.0, named_s=6.0, ended_s=None)
-        >>> limit.merge(LimitWord("i-1", 2.0, named_ago_s=9.0, ended_ago_s=0.5), now_s=8.0)
+        >>> limit.merge(LimitReport("i-1", 2.0, advertised_ago_s=9.0, lifted_ago_s=0.5), now_s=8.0)
         >>> limit
         NamedLimit(per_s=1.0, named_s=6.0, ended_s=7.5)
         """
-        named_s = now_s - word.named_ago_s
-        ends = [self.ended_s, None if word.ended_ago_s is None else now_s - word.ended_ago_s]
+        named_s = now_s - word.advertised_ago_s
+        ends = [self.ended_s, None if word.lifted_ago_s is None else now_s - word.lifted_ago_s]
         if named_s > self.named_s:
             self.per_s, self.named_s = word.per_s, named_s
         later = [ended_s for ended_s in ends if ended_s is not None and ended_s > self.named_s]
--- a/src/crowsill/state/claims.py
+++ b/src/crowsill/state/claims.py
@@ -22,8 +22,8 @@
     SettleClaim,
 )
 
-WHOLE_CLAIM_S = 3600.0
-MAX_WHOLE_CLAIMS = 8_000
+FULL_CLAIM_RETENTION_S = 3600.0
+MAX_FULL_CLAIMS = 8_000
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 
 
@@ -148,11 +148,11 @@
     def _forget_old(self, now_s: float) -> None:
         """Keep the newest claims whole, within bounds; of the others only that they were."""
         self._archive.forget_before(now_s - self._retention_s)
-        whole_after_s = now_s - min(WHOLE_CLAIM_S, self._retention_s)
+        whole_after_s = now_s - min(FULL_CLAIM_RETENTION_S, self._retention_s)
         while self._claims:
             key = next(iter(self._claims))
             claim = self._claims[key]
-            over = len(self._claims) > MAX_WHOLE_CLAIMS or self._answer_bytes > MAX_ANSWER_BYTES
+            over = len(self._claims) > MAX_FULL_CLAIMS or self._answer_bytes > MAX_ANSWER_BYTES
             if claim.opened_s >= whole_after_s and not over:
                 return
             self._take_out(key)
--- a/src/crowsill/state/commands.py
+++ b/src/crowsill/state/commands.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from crowsill.model.configuration import ConfigurationChange
-from crowsill.model.instances import Beat, ComingModel, HeldModel
+from crowsill.model.instances import LoadedModel, LoadingModel, ReplicaHeartbeat
 from crowsill.model.suspects import SuspectRequest
 from crowsill.state.route_store import RouteDocument
 
@@ -131,10 +131,10 @@
     at_s: float = 0.0
 
 
-class RecordBeat(msgspec.Struct, frozen=True, array_like=True, tag="record-beat"):
+class RecordHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="record-beat"):
     """Take in a heartbeat that changes what is known of a replica."""
 
-    beat: Beat
+    heartbeat: ReplicaHeartbeat
     at_s: float = 0.0
 
 
@@ -158,16 +158,16 @@
     Attributes:
         instance_id: The engine.
         models: What it holds and gateways may use.
-        coming: Models whose load is under way there.
+        loading: Models whose load is under way there.
     """
 
     instance_id: str
-    models: list[HeldModel]
+    models: list[LoadedModel]
     at_s: float = 0.0
-    coming: list[ComingModel] = []
+    loading: list[LoadingModel] = []
 
 
-class RecordLacked(msgspec.Struct, frozen=True, array_like=True, tag="record-lacked"):
+class RecordMissingModels(msgspec.Struct, frozen=True, array_like=True, tag="record-lacked"):
     """Record how many requests models have lacked since they were held last.
 
     Attributes:
@@ -206,12 +206,12 @@
     """Record that a replica ended while it ran requests.
 
     Attributes:
-        life: The replica's life that ended.
+        instance_id: The replica's life that ended.
         requests: What was running there.
         ago_s: How long before the command was proposed it ended.
     """
 
-    life: str
+    instance_id: str
     requests: list[SuspectRequest]
     ago_s: float
     at_s: float = 0.0
@@ -222,22 +222,22 @@
 
     Attributes:
         fingerprints: Which.
-        why: Why not, for the log.
-        whole_ago_s: How long before the command was proposed each ended whole, in the same order;
-            none where that is not why.
+        reason: Why not, for the log.
+        completed_ago_s: Time between the completion of each request and the proposal of this
+            command, in the same order; empty if completion is not the reason.
     """
 
     fingerprints: list[bytes]
-    why: str
+    reason: str
     at_s: float = 0.0
-    whole_ago_s: list[float] = []
+    completed_ago_s: list[float] = []
 
 
-CrashNote = RecordCrash | ClearSuspects
+CrashCommand = RecordCrash | ClearSuspects
 # What a leader notes for its successors.
-LeaderNote = RecordControlAddress | RecordLacked | RecordQuotaUse
-DirectoryCommand = RecordBeat | DrainInstance | RemoveInstance | OfferModels
-Registration = PublishRoutes | DirectoryCommand | CrashNote | LeaderNote
+LeaderRecord = RecordControlAddress | RecordMissingModels | RecordQuotaUse
+DirectoryCommand = RecordHeartbeat | DrainInstance | RemoveInstance | OfferModels
+Registration = PublishRoutes | DirectoryCommand | CrashCommand | LeaderRecord
 Command = (
     ChangeConfiguration
     | OpenClaim
@@ -246,26 +246,26 @@
     | PlaceOrder
     | SettleOrder
     | PublishRoutes
-    | RecordBeat
+    | RecordHeartbeat
     | DrainInstance
     | RemoveInstance
     | OfferModels
     | RecordControlAddress
-    | RecordLacked
+    | RecordMissingModels
     | RecordQuotaUse
     | RecordCrash
     | ClearSuspects
 )
 
 
-def ends_sending(command: Command) -> bool:
+def stops_attempts(command: Command) -> bool:
     """Whether a command says to send no more: of a request, or to a replica.
 
-    >>> ends_sending(DrainInstance("i-1")), ends_sending(RecordLacked({}))
+    >>> stops_attempts(DrainInstance("i-1")), stops_attempts(RecordMissingModels({}))
     (True, False)
     """
-    if isinstance(command, RecordBeat):
-        return not command.beat.instance.accepts_work
+    if isinstance(command, RecordHeartbeat):
+        return not command.heartbeat.instance.accepts_work
     return isinstance(command, RecordCrash | DrainInstance | RemoveInstance)
 
 
--- a/src/crowsill/state/control_addresses.py
+++ b/src/crowsill/state/control_addresses.py
@@ -6,7 +6,7 @@
 
 # Beyond so many the one recorded first is dropped. A site has a handful of control processes; each
 # that is gone for good costs the leader one packet every two seconds.
-MOST_ADDRESSES = 64
+MAX_CONTROL_ADDRESSES = 64
 
 
 class ControlAddresses:
@@ -24,7 +24,7 @@
         """Record one; return whether it was not known."""
         if address in self.addresses:
             return False
-        self.addresses = [*self.addresses, address][-MOST_ADDRESSES:]
+        self.addresses = [*self.addresses, address][-MAX_CONTROL_ADDRESSES:]
         return True
 
     def load(self, addresses: list[str]) -> None:
--- a/src/crowsill/state/crash_record.py
+++ b/src/crowsill/state/crash_record.py
@@ -11,26 +11,26 @@
 import msgspec
 
 from crowsill.model.suspects import (
+    COMPLETION_VALIDITY_S,
     CRASH_LIMIT,
-    GOOD_LIFETIME_S,
     Suspect,
     SuspectChange,
-    SuspectEnds,
+    SuspectCrashes,
     SuspectRequest,
-    is_another_end,
+    is_independent_crash,
 )
 
 # About 200 bytes each in a snapshot. An end makes up to 100 suspects, and nearly all of them are
 # cleared within seconds.
-MOST_SUSPECTS = 4096
+MAX_SUSPECTS = 4096
 # Requests that ended whole before they ran where a replica ended, which counts for
-# `GOOD_LIFETIME_S`; about 200 bytes each. An end tells of up to 100.
-MOST_WHOLE = 4096
+# `COMPLETION_VALIDITY_S`; about 200 bytes each. An end tells of up to 100.
+MAX_COMPLETIONS = 4096
 # Of two requests at one end, the one that had run so many times as long did not bring it about: a
 # request that ends replicas takes the same time for it at each, and those beside it any time.
-FAR_LONGER = 4.0
+UNRELATED_RUN_TIME_RATIO = 4.0
 # Lives kept for each request; more say nothing new.
-MOST_ENDS = 8
+MAX_RECORDED_CRASHES = 8
 
 
 class CrashRecordSnapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -53,7 +53,7 @@
     [True, True]
     >>> record.record("b", [seen], 3), record.record("c", [seen], 2.05)
     (None, None)
-    >>> record.clear([b"f"]).changed[0].ends, record.suspects
+    >>> record.clear([b"f"]).changed[0].crashed_instances, record.suspects
     ([], [])
     """
 
@@ -90,34 +90,36 @@
                 continue
             self._suspects[request.fingerprint] = counted
             self._suspects.move_to_end(request.fingerprint)
-            changed[request.fingerprint] = counted.counted_ends
-        if any(len(ends) == CRASH_LIMIT for ends in changed.values()):
+            changed[request.fingerprint] = counted.counted_crashes
+        if any(len(crashed_instances) == CRASH_LIMIT for crashed_instances in changed.values()):
             changed.update(self._exonerate())
             changed.update(self._spare())
-        while len(self._suspects) > MOST_SUSPECTS:
+        while len(self._suspects) > MAX_SUSPECTS:
             changed[self._forget_one()] = []
         return self._changed(changed)
 
     def _count(self, life: str, request: SuspectRequest, ended_s: float) -> Suspect | None:
         """Count an end against a request; None where it says nothing new."""
         # A clock that jumped leaves no request unseen for longer.
-        if abs(ended_s - self._whole_s.get(request.fingerprint, -math.inf)) < GOOD_LIFETIME_S:
+        if abs(ended_s - self._whole_s.get(request.fingerprint, -math.inf)) < COMPLETION_VALIDITY_S:
             return None
         known = self._suspects.get(request.fingerprint)
         if known is None:
             return Suspect(request, [life], ended_s, ended_s, [request.ran_s])
-        if life in known.ends or len(known.ends) >= MOST_ENDS:
+        if life in known.crashed_instances or len(known.crashed_instances) >= MAX_RECORDED_CRASHES:
             return None
         # What knew of all ends counted so far was sent after them, however late these were told:
         # beside load, reports overtake each other by more than a repeat takes.
-        knew_all = request.known_ends >= len(known.counted_ends)
-        if not knew_all and not is_another_end(known.last_s, ended_s - request.ran_s, ended_s):
+        knew_all = request.known_crashes >= len(known.counted_crashes)
+        if not knew_all and not is_independent_crash(
+            known.last_crash_at_s, ended_s - request.ran_s, ended_s
+        ):
             return None
         return msgspec.structs.replace(
             known,
             request=request,
-            ends=[*known.ends, life],
-            last_s=ended_s,
+            crashed_instances=[*known.crashed_instances, life],
+            last_crash_at_s=ended_s,
             ran_s=[*known.ran_s, request.ran_s],
         )
 
@@ -127,11 +129,16 @@
         Others explain an end if they have ended a replica besides. So a crowd that had never ended
         whole before is free once its culprits are known (a soak of 7 s held one back for good).
         """
-        held = {key: set(item.ends) for key, item in self._suspects.items() if item.is_quarantined}
+        held = {
+            key: set(item.crashed_instances)
+            for key, item in self._suspects.items()
+            if item.is_quarantined
+        }
         cleared = [
             key
-            for key, ends in held.items()
-            if ends <= set().union(*(other for other in held.values() if other - ends))
+            for key, crashed_instances in held.items()
+            if crashed_instances
+            <= set().union(*(other for other in held.values() if other - crashed_instances))
         ]
         for key in cleared:
             del self._suspects[key]
@@ -152,15 +159,15 @@
         changed: dict[bytes, list[str]] = {}
         many = [item for item in self._suspects.items() if item[1].is_quarantined]
         for key, suspect in sorted(many, key=lambda item: max(item[1].ran_s, default=0.0)):
-            ran_s = dict(zip(suspect.ends, suspect.ran_s, strict=False))
+            ran_s = dict(zip(suspect.crashed_instances, suspect.ran_s, strict=False))
             longer = [
                 life
                 for life, taken_s in ran_s.items()
-                if taken_s > FAR_LONGER * shortest_s.get(life, math.inf)
+                if taken_s > UNRELATED_RUN_TIME_RATIO * shortest_s.get(life, math.inf)
             ]
-            if longer and not suspect.spared:
-                self._suspects[key] = msgspec.structs.replace(suspect, spared=longer[0])
-                changed[key] = self._suspects[key].counted_ends
+            if longer and not suspect.excused_instance:
+                self._suspects[key] = msgspec.structs.replace(suspect, excused_instance=longer[0])
+                changed[key] = self._suspects[key].counted_crashes
                 continue
             for life, taken_s in ran_s.items():
                 shortest_s[life] = min(taken_s, shortest_s.get(life, math.inf))
@@ -168,7 +175,9 @@
 
     def _forget_one(self) -> bytes:
         """Forget the oldest one of those under which the fewest replicas ended."""
-        fingerprint = min(self._suspects, key=lambda item: len(self._suspects[item].ends))
+        fingerprint = min(
+            self._suspects, key=lambda item: len(self._suspects[item].crashed_instances)
+        )
         del self._suspects[fingerprint]
         return fingerprint
 
@@ -189,7 +198,7 @@
         """
         self._whole_s[fingerprint] = max(whole_s, self._whole_s.get(fingerprint, whole_s))
         self._whole_s.move_to_end(fingerprint)
-        if len(self._whole_s) > MOST_WHOLE:
+        if len(self._whole_s) > MAX_COMPLETIONS:
             self._whole_s.popitem(last=False)
 
     def clear(self, fingerprints: list[bytes]) -> SuspectChange | None:
@@ -202,21 +211,25 @@
         return [
             fingerprint
             for fingerprint, suspect in self._suspects.items()
-            if suspect.last_s < horizon_s
+            if suspect.last_crash_at_s < horizon_s
         ]
 
     def _changed(self, changed: dict[bytes, list[str]]) -> SuspectChange | None:
         if not changed:
             return None
         self.version += 1
-        ends = [SuspectEnds(fingerprint, lives) for fingerprint, lives in changed.items()]
-        self.last_change = SuspectChange(self.version, ends)
+        crashed_instances = [
+            SuspectCrashes(fingerprint, lives) for fingerprint, lives in changed.items()
+        ]
+        self.last_change = SuspectChange(self.version, crashed_instances)
         return self.last_change
 
     def whole(self) -> SuspectChange:
         """Return everything as one change."""
-        ends = [SuspectEnds(key, item.counted_ends) for key, item in self._suspects.items()]
-        return SuspectChange(self.version, ends)
+        crashed_instances = [
+            SuspectCrashes(key, item.counted_crashes) for key, item in self._suspects.items()
+        ]
+        return SuspectChange(self.version, crashed_instances)
 
     def dump(self) -> CrashRecordSnapshot:
         """Return the state for a snapshot."""
--- a/src/crowsill/state/directory.py
+++ b/src/crowsill/state/directory.py
@@ -9,32 +9,38 @@
 
 import msgspec
 
-from crowsill.model.instances import Beat, ComingModel, HeldModel, Instance, InstanceState
+from crowsill.model.instances import (
+    Instance,
+    InstanceState,
+    LoadedModel,
+    LoadingModel,
+    ReplicaHeartbeat,
+)
 
-REMEMBERED_GONE = 4000
+MAX_REMEMBERED_GONE = 4000
 
 
 class DirectoryEntry(msgspec.Struct, frozen=True, array_like=True):
     """One registered replica.
 
     Attributes:
-        beat: The newest heartbeat that changed anything.
-        offered: What gateways may use there, by the word of the member that places models; None
-            while none has spoken, so that the replica's own word counts.
-        coming: Models whose load is under way there, by the same word.
+        heartbeat: The newest heartbeat that changed anything.
+        offered_models: Models that gateways may use there, as set by the member that places
+            models; None as long as no member has, so that the replica's own report counts.
+        loading: Models that the replica is loading, as set by the same member.
     """
 
-    beat: Beat
-    offered: list[HeldModel] | None = None
-    coming: list[ComingModel] = []
+    heartbeat: ReplicaHeartbeat
+    offered_models: list[LoadedModel] | None = None
+    loading: list[LoadingModel] = []
 
     @property
     def instance(self) -> Instance:
         """The replica as gateways should see it."""
-        reported = self.beat.instance
-        if self.offered is None:
+        reported = self.heartbeat.instance
+        if self.offered_models is None:
             return reported
-        return msgspec.structs.replace(reported, models=self.offered, coming=self.coming)
+        return msgspec.structs.replace(reported, models=self.offered_models, loading=self.loading)
 
 
 class DirectorySnapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -43,7 +49,7 @@
     version: int = 0
     entries: list[DirectoryEntry] = []
     gone: list[str] = []
-    newest_born_ms: list[tuple[str, int]] = []
+    newest_started_ms: list[tuple[str, int]] = []
 
 
 class DirectoryChange(msgspec.Struct, frozen=True, array_like=True):
@@ -67,7 +73,7 @@
         self.last_change: DirectoryChange | None = None
         self._entries: dict[str, DirectoryEntry] = {}
         self._gone: OrderedDict[str, None] = OrderedDict()
-        self._newest_born_ms: OrderedDict[str, int] = OrderedDict()
+        self._newest_started_ms: OrderedDict[str, int] = OrderedDict()
 
     @property
     def instances(self) -> list[Instance]:
@@ -77,12 +83,12 @@
     @property
     def reported(self) -> list[Instance]:
         """All instances that are not gone, as they described themselves."""
-        return [entry.beat.instance for entry in self._entries.values()]
+        return [entry.heartbeat.instance for entry in self._entries.values()]
 
     @property
     def has_offers(self) -> bool:
         """Whether a member has ever placed models on an instance that is still here."""
-        return any(entry.offered is not None for entry in self._entries.values())
+        return any(entry.offered_models is not None for entry in self._entries.values())
 
     def find(self, instance_id: str) -> Instance | None:
         """Return an instance as gateways should see it, or None."""
@@ -92,19 +98,19 @@
     def find_reported(self, instance_id: str) -> Instance | None:
         """Return an instance as it described itself, or None."""
         entry = self._entries.get(instance_id)
-        return None if entry is None else entry.beat.instance
+        return None if entry is None else entry.heartbeat.instance
 
-    def changes(self, beat: Beat) -> bool:
+    def changes(self, heartbeat: ReplicaHeartbeat) -> bool:
         """Whether taking in a heartbeat would change what is known."""
-        instance = beat.instance
+        instance = heartbeat.instance
         if instance.instance_id in self._gone:
             return False
         known = self._entries.get(instance.instance_id)
         if known is None:
             return not self._is_outlived(instance)
-        if beat.sequence <= known.beat.sequence:
+        if heartbeat.sequence <= known.heartbeat.sequence:
             return False
-        reported = known.beat.instance
+        reported = known.heartbeat.instance
         return _sticky_state(reported, instance) != reported
 
     def lives_of(self, replica: str) -> list[str]:
@@ -113,56 +119,63 @@
 
     def _is_outlived(self, instance: Instance) -> bool:
         """Whether a later life of the replica is known, or of whoever has its address now."""
-        if instance.born_ms < self._newest_born_ms.get(instance.replica_name, 0):
+        if instance.started_ms < self._newest_started_ms.get(instance.replica_name, 0):
             return True
         return any(
-            known.address == instance.address and 0 < instance.born_ms < known.born_ms
+            known.address == instance.address and 0 < instance.started_ms < known.started_ms
             for known in self.reported
         )
 
-    def _note_born(self, instance: Instance) -> None:
-        if not instance.born_ms:
+    def _note_started(self, instance: Instance) -> None:
+        if not instance.started_ms:
             return
-        self._newest_born_ms[instance.replica_name] = instance.born_ms
-        self._newest_born_ms.move_to_end(instance.replica_name)
-        while len(self._newest_born_ms) > REMEMBERED_GONE:
-            self._newest_born_ms.popitem(last=False)
+        self._newest_started_ms[instance.replica_name] = instance.started_ms
+        self._newest_started_ms.move_to_end(instance.replica_name)
+        while len(self._newest_started_ms) > MAX_REMEMBERED_GONE:
+            self._newest_started_ms.popitem(last=False)
 
-    def record(self, beat: Beat) -> DirectoryChange | None:
+    def record(self, heartbeat: ReplicaHeartbeat) -> DirectoryChange | None:
         """Take in a heartbeat; return what changed, or None."""
-        if not self.changes(beat):
+        if not self.changes(heartbeat):
             return None
-        instance = beat.instance
+        instance = heartbeat.instance
         removed = self._displace(instance)
-        self._note_born(instance)
+        self._note_started(instance)
         known = self._entries.get(instance.instance_id)
-        offered: list[HeldModel] | None = None
-        coming: list[ComingModel] = []
+        offered_models: list[LoadedModel] | None = None
+        loading: list[LoadingModel] = []
         if known is not None:
-            instance = _sticky_state(known.beat.instance, instance)
-            if known.offered is not None:
-                offered = _follow(known.offered, known.beat.instance.models, instance.models)
-            held = {model.name for model in (instance.models if offered is None else offered)}
-            coming = [model for model in known.coming if model.name not in held]
-        entry = DirectoryEntry(Beat(instance, beat.sequence), offered, coming)
+            instance = _sticky_state(known.heartbeat.instance, instance)
+            if known.offered_models is not None:
+                offered_models = _follow(
+                    known.offered_models, known.heartbeat.instance.models, instance.models
+                )
+            held = {
+                model.name
+                for model in (instance.models if offered_models is None else offered_models)
+            }
+            loading = [model for model in known.loading if model.name not in held]
+        entry = DirectoryEntry(
+            ReplicaHeartbeat(instance, heartbeat.sequence), offered_models, loading
+        )
         self._entries[instance.instance_id] = entry
         return self._changed([entry.instance], removed)
 
     def offer(
-        self, instance_id: str, models: list[HeldModel], coming: list[ComingModel]
+        self, instance_id: str, models: list[LoadedModel], loading: list[LoadingModel]
     ) -> DirectoryChange | None:
         """Record what gateways may use at an instance; return what changed, or None.
 
         Args:
             instance_id: The instance.
             models: What it holds and gateways may use.
-            coming: Models whose load is under way there.
+            loading: Models whose load is under way there.
         """
         known = self._entries.get(instance_id)
         if known is None:
             return None
         before = known.instance
-        entry = DirectoryEntry(known.beat, models, coming)
+        entry = DirectoryEntry(known.heartbeat, models, loading)
         self._entries[instance_id] = entry
         return None if entry.instance == before else self._changed([entry.instance], [])
 
@@ -186,7 +199,7 @@
     def _forget(self, instance_id: str) -> None:
         self._entries.pop(instance_id, None)
         self._gone[instance_id] = None
-        while len(self._gone) > REMEMBERED_GONE:
+        while len(self._gone) > MAX_REMEMBERED_GONE:
             self._gone.popitem(last=False)
 
     def drain(self, instance_id: str) -> DirectoryChange | None:
@@ -195,10 +208,14 @@
         Heartbeats that still say ready change nothing of it: the state never rises within a life.
         """
         known = self._entries.get(instance_id)
-        if known is None or not known.beat.instance.accepts_work:
+        if known is None or not known.heartbeat.instance.accepts_work:
             return None
-        draining = msgspec.structs.replace(known.beat.instance, state=InstanceState.DRAINING)
-        entry = DirectoryEntry(Beat(draining, known.beat.sequence), known.offered, known.coming)
+        draining = msgspec.structs.replace(known.heartbeat.instance, state=InstanceState.DRAINING)
+        entry = DirectoryEntry(
+            ReplicaHeartbeat(draining, known.heartbeat.sequence),
+            known.offered_models,
+            known.loading,
+        )
         self._entries[instance_id] = entry
         return self._changed([entry.instance], [])
 
@@ -214,15 +231,15 @@
 
     def dump(self) -> DirectorySnapshot:
         """Return the state for a snapshot."""
-        entries, born = list(self._entries.values()), list(self._newest_born_ms.items())
+        entries, born = list(self._entries.values()), list(self._newest_started_ms.items())
         return DirectorySnapshot(self.version, entries, list(self._gone), born)
 
     def load(self, snapshot: DirectorySnapshot) -> None:
         """Replace the state by that of a snapshot."""
         self.version = snapshot.version
-        self._entries = {entry.beat.instance.instance_id: entry for entry in snapshot.entries}
+        self._entries = {entry.heartbeat.instance.instance_id: entry for entry in snapshot.entries}
         self._gone = OrderedDict((instance_id, None) for instance_id in snapshot.gone)
-        self._newest_born_ms = OrderedDict(snapshot.newest_born_ms)
+        self._newest_started_ms = OrderedDict(snapshot.newest_started_ms)
 
 
 def _sticky_state(known: Instance, reported: Instance) -> Instance:
@@ -233,24 +250,24 @@
 
 
 def _follow(
-    offered: list[HeldModel], before: list[HeldModel], after: list[HeldModel]
-) -> list[HeldModel]:
+    offered_models: list[LoadedModel], before: list[LoadedModel], after: list[LoadedModel]
+) -> list[LoadedModel]:
     """Carry over to what is offered what has come and gone between two heartbeats.
 
-    >>> held = HeldModel("a"), HeldModel("b"), HeldModel("c")
+    >>> held = LoadedModel("a"), LoadedModel("b"), LoadedModel("c")
     >>> [item.name for item in _follow([held[0]], [held[0], held[1]], list(held))]
     ['a', 'c']
     """
     old = {held.name: set(held.adapters) for held in before}
     new = {held.name: set(held.adapters) for held in after}
-    result: list[HeldModel] = []
-    for held in offered:
+    result: list[LoadedModel] = []
+    for held in offered_models:
         if held.name in old and held.name not in new:
             continue
         gone = old.get(held.name, set()) - new.get(held.name, set())
         come = new.get(held.name, set()) - old.get(held.name, set())
         adapters = sorted((set(held.adapters) - gone) | come)
-        result.append(HeldModel(held.name, held.version, adapters))
-    names = {held.name for held in offered}
+        result.append(LoadedModel(held.name, held.version, adapters))
+    names = {held.name for held in offered_models}
     result.extend(held for held in after if held.name not in old and held.name not in names)
     return result
--- a/src/crowsill/state/machine.py
+++ b/src/crowsill/state/machine.py
@@ -16,19 +16,19 @@
     ClearSuspects,
     Command,
     CommandResult,
-    CrashNote,
+    CrashCommand,
     DirectoryCommand,
     DrainInstance,
-    LeaderNote,
+    LeaderRecord,
     OfferModels,
     OpenClaim,
     OrderPlaced,
     PlaceOrder,
     PublishRoutes,
-    RecordBeat,
     RecordControlAddress,
     RecordCrash,
-    RecordLacked,
+    RecordHeartbeat,
+    RecordMissingModels,
     RecordQuotaUse,
     Registration,
     RemoveInstance,
@@ -38,7 +38,7 @@
 from crowsill.state.control_addresses import ControlAddresses
 from crowsill.state.crash_record import CrashRecord, CrashRecordSnapshot
 from crowsill.state.directory import Directory, DirectoryChange, DirectorySnapshot
-from crowsill.state.lacked_models import LackedModels
+from crowsill.state.missing_models import MissingModels
 from crowsill.state.orders import Order, OrderTable
 from crowsill.state.quota_use import QuotaUse
 from crowsill.state.route_store import RouteDocument, RouteStore
@@ -55,7 +55,7 @@
     routes: RouteDocument = RouteDocument()
     directory: DirectorySnapshot = DirectorySnapshot()
     control_addresses: list[str] = []
-    lacked: dict[str, float] = {}
+    missing_models: dict[str, float] = msgspec.field(default_factory=dict, name="lacked")
     quota_use: dict[str, list[float]] = {}
     crashes: CrashRecordSnapshot = CrashRecordSnapshot()
 
@@ -70,7 +70,7 @@
         routes: The route configuration in force.
         directory: Replicas that registered themselves.
         control_addresses: Control processes that belonged to the group or asked for it.
-        lacked: Requests that models have lacked.
+        missing_models: Requests that models have lacked.
         quota_use: What tenants may have been granted lately.
         crashes: Requests under which replicas ended.
     """
@@ -82,7 +82,7 @@
         self.routes = RouteStore()
         self.directory = Directory()
         self.control_addresses = ControlAddresses()
-        self.lacked = LackedModels()
+        self.missing_models = MissingModels()
         self.quota_use = QuotaUse()
         self.crashes = CrashRecord()
 
@@ -113,40 +113,42 @@
         match command:
             case PublishRoutes():
                 return self.routes.submit(command.document)
-            case RecordBeat() | DrainInstance() | RemoveInstance() | OfferModels():
+            case RecordHeartbeat() | DrainInstance() | RemoveInstance() | OfferModels():
                 return self._change_directory(command) is not None
             case RecordCrash() | ClearSuspects():
                 return self._apply_crash(command)
             case _:
-                return self._apply_note(command)
+                return self._apply_leader_record(command)
 
     def _change_directory(self, command: DirectoryCommand) -> DirectoryChange | None:
         """Apply what is known of a replica; return what changed, or None."""
         match command:
-            case RecordBeat():
-                return self.directory.record(command.beat)
+            case RecordHeartbeat():
+                return self.directory.record(command.heartbeat)
             case DrainInstance():
                 return self.directory.drain(command.instance_id)
             case RemoveInstance():
                 return self.directory.remove(command.instance_id)
             case OfferModels():
-                return self.directory.offer(command.instance_id, command.models, command.coming)
+                return self.directory.offer(command.instance_id, command.models, command.loading)
 
-    def _apply_crash(self, note: CrashNote) -> bool:
+    def _apply_crash(self, note: CrashCommand) -> bool:
         """Apply what was seen of requests under which replicas ended; return whether it is new."""
         if isinstance(note, ClearSuspects):
-            for fingerprint, ago_s in zip(note.fingerprints, note.whole_ago_s, strict=False):
+            for fingerprint, ago_s in zip(note.fingerprints, note.completed_ago_s, strict=False):
                 self.crashes.note_whole(fingerprint, note.at_s - ago_s)
             return self.crashes.clear(note.fingerprints) is not None
-        return self.crashes.record(note.life, note.requests, note.at_s - note.ago_s) is not None
+        return (
+            self.crashes.record(note.instance_id, note.requests, note.at_s - note.ago_s) is not None
+        )
 
-    def _apply_note(self, note: LeaderNote) -> bool:
+    def _apply_leader_record(self, note: LeaderRecord) -> bool:
         """Apply what a leader noted for its successors; return whether it changed anything."""
         match note:
             case RecordControlAddress():
                 return self.control_addresses.record(note.address)
-            case RecordLacked():
-                return self.lacked.record(note.requests)
+            case RecordMissingModels():
+                return self.missing_models.record(note.requests)
             case RecordQuotaUse():
                 return self.quota_use.record(note.units)
 
@@ -164,7 +166,7 @@
                 routes=self.routes.current,
                 directory=self.directory.dump(),
                 control_addresses=self.control_addresses.addresses,
-                lacked=self.lacked.requests,
+                missing_models=self.missing_models.requests,
                 quota_use=self.quota_use.units,
                 crashes=self.crashes.dump(),
             )
@@ -179,7 +181,7 @@
         self.routes.load(snapshot.routes)
         self.directory.load(snapshot.directory)
         self.control_addresses.load(snapshot.control_addresses)
-        self.lacked.record(snapshot.lacked)
+        self.missing_models.record(snapshot.missing_models)
         self.quota_use.load(snapshot.quota_use)
         self.crashes.load(snapshot.crashes)
 
--- a/src/crowsill/state/lacked_models.py
+++ b/src/crowsill/state/missing_models.py
@@ -6,13 +6,13 @@
 
 # Beyond so many the models that lacked fewest are left out: a record of all takes 1.7 KB (encoded,
 # names of 10 letters), so that its leader sends 3.4 KB/s to four followers at most.
-MOST_MODELS = 50
+MAX_RECORDED_MODELS = 50
 
 
-class LackedModels:
+class MissingModels:
     """Requests lacked by `service|model`, as the leader recorded them last.
 
-    >>> lacked = LackedModels()
+    >>> lacked = MissingModels()
     >>> lacked.record({"s|m": 3.0}), lacked.record({"s|m": 3.0}), lacked.requests
     (True, False, {'s|m': 3.0})
     """
@@ -22,17 +22,19 @@
 
     def record(self, requests: dict[str, float]) -> bool:
         """Replace what was recorded; return whether that changed anything."""
-        most = most_lacked(requests)
+        most = most_requested(requests)
         if most == self.requests:
             return False
         self.requests = most
         return True
 
 
-def most_lacked(requests: dict[str, float]) -> dict[str, float]:
+def most_requested(requests: dict[str, float]) -> dict[str, float]:
     """Return what is recorded of a count: the models that lacked most.
 
-    >>> most_lacked({"s|m": 1.0, "s|n": 2.0})
+    >>> most_requested({"s|m": 1.0, "s|n": 2.0})
     {'s|n': 2.0, 's|m': 1.0}
     """
-    return dict(sorted(requests.items(), key=lambda item: (-item[1], item[0]))[:MOST_MODELS])
+    return dict(
+        sorted(requests.items(), key=lambda item: (-item[1], item[0]))[:MAX_RECORDED_MODELS]
+    )
--- a/src/crowsill/transport/messages.py
+++ b/src/crowsill/transport/messages.py
@@ -9,7 +9,7 @@
 from crowsill.model.configuration import Configuration, ConfigurationDelta
 from crowsill.model.exclusions import ExcludedReplica
 from crowsill.model.fleet import FleetDelta
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import LimitReport
 from crowsill.model.replica_use import UseByReplica
 from crowsill.state.commands import Command, CommandResult
 from crowsill.state.directory import DirectoryChange
@@ -127,7 +127,7 @@
     pressed: dict[str, int] = {}
     suspects_version: int = 0
     in_use: UseByReplica | None = None
-    limits: list[LimitWord] = []
+    limits: list[LimitReport] = []
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
@@ -187,7 +187,7 @@
     suspects_version: int = 0
     in_use: UseByReplica | None = None
     member_zones: list[str] = []
-    limits: list[LimitWord] = []
+    limits: list[LimitReport] = []
 
 
 class ConfigurationUpdate(msgspec.Struct, frozen=True, tag="configuration-update"):
--- a/src/crowsill/transport/replica_messages.py
+++ b/src/crowsill/transport/replica_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import LimitReport
 from crowsill.model.suspects import SuspectChange, SuspectRequest
 
 
@@ -52,7 +52,7 @@
         is_urgent: Whether the request cannot wait.
     """
 
-    word: LimitWord
+    word: LimitReport
     is_urgent: bool = True
 
 
@@ -83,4 +83,4 @@
 class ReplicaLimitsNotice(msgspec.Struct, frozen=True, tag="replica-limits"):
     """Limits that replicas have just named to a gateway, or no longer name."""
 
-    words: list[LimitWord]
+    words: list[LimitReport]
--- a/src/crowsill_lab/bench/choice.py
+++ b/src/crowsill_lab/bench/choice.py
@@ -7,7 +7,7 @@
 from crowsill.gateway.replica_book import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import SelectionLimits, choose
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 
 ROUNDS = 300
 REPLICAS = (10, 100)
@@ -39,7 +39,7 @@
                 "127.0.0.1:1",
                 "z",
                 8,
-                models=[HeldModel("m" if number < holders else "n")],
+                models=[LoadedModel("m" if number < holders else "n")],
             )
         )
         for number in range(count)
--- a/src/crowsill_lab/bench/fingerprints.py
+++ b/src/crowsill_lab/bench/fingerprints.py
@@ -7,7 +7,7 @@
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.fingerprint import Fingerprints
 from crowsill.gateway.request import CallerRequest
-from crowsill.model.suspects import SuspectChange, SuspectEnds
+from crowsill.model.suspects import SuspectChange, SuspectCrashes
 
 ROUNDS = 5000
 SUSPECTS = 1000
@@ -39,7 +39,7 @@
 
 def run_fingerprint_bench() -> list[FingerprintFigures]:
     """Return the figures for each size of body."""
-    ends = [SuspectEnds(b"%016d" % number, ["a"]) for number in range(SUSPECTS)]
+    ends = [SuspectCrashes(b"%016d" % number, ["a"]) for number in range(SUSPECTS)]
     guard = CrashGuard()
     guard.adopt(SuspectChange(1, ends), True)
     found: list[FingerprintFigures] = []
--- a/src/crowsill_lab/bench/limits.py
+++ b/src/crowsill_lab/bench/limits.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from crowsill.control.replica_limits import ReplicaLimits
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import LimitReport
 from crowsill.model.tenants import Tenant
 from crowsill.routing.limits import TokenBucket
 from crowsill.tenancy.grant_ledger import GrantLedger, InheritedUse, QuotaBounds
@@ -154,7 +154,7 @@
 
     def ask(self, now_s: float) -> tuple[bool, float]:
         """Ask for one request; the replica names its limit with each answer."""
-        self._limits.note([LimitWord(REPLICA, self._per_s, 0.0)], now_s)
+        self._limits.note([LimitReport(REPLICA, self._per_s, 0.0)], now_s)
         decision = self._limits.grant(REPLICA, now_s)
         return decision.is_granted, decision.wait_s
 
--- a/src/crowsill_lab/platform/server.py
+++ b/src/crowsill_lab/platform/server.py
@@ -44,7 +44,7 @@
         """`POST /lab/leaving/{id}`: the platform wants a machine gone."""
         replica_id = request.match_info["replica_id"]
         machine = self._truth[replica_id]
-        self._truth[replica_id] = msgspec.structs.replace(machine, leaving=True)
+        self._truth[replica_id] = msgspec.structs.replace(machine, draining=True)
         self._show_later()
         return web.Response(status=204)
 
--- a/src/crowsill_lab/soak/culprit.py
+++ b/src/crowsill_lab/soak/culprit.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from crowsill.gateway.dialect import HeaderNames
-from crowsill.model.suspects import CRASH_LIMIT, SAME_MOMENT_S
+from crowsill.model.suspects import CRASH_LIMIT, SIMULTANEOUS_CRASH_WINDOW_S
 from crowsill_lab.soak.ledger import CRASHING, Ledger
 from crowsill_lab.soak.operator import HOST_NAME
 from crowsill_lab.soak.site import Gateway
@@ -87,6 +87,6 @@
         return False
     apart, last_s = 0, float("-inf")
     for end_s in ends_s:
-        if end_s - last_s >= SAME_MOMENT_S:
+        if end_s - last_s >= SIMULTANEOUS_CRASH_WINDOW_S:
             apart, last_s = apart + 1, end_s
     return apart >= CRASH_LIMIT or len(ends_s) > CRASH_LIMIT
--- a/src/crowsill_lab/soak/replica.py
+++ b/src/crowsill_lab/soak/replica.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from crowsill.gateway.dialect import HeaderNames
-from crowsill.model.instances import Beat, Instance, InstanceState, life_of
+from crowsill.model.instances import Instance, InstanceState, ReplicaHeartbeat, instance_id_of
 from crowsill_lab.soak.control_calls import put
 from crowsill_lab.soak.ledger import CRASHING, Ledger
 from crowsill_lab.soak.seeded_site import SeededSite
@@ -45,7 +45,7 @@
         self, number: int, site: SoakSite | SeededSite, ledger: Ledger, random: Random
     ) -> None:
         self.name = f"i-{number}"
-        self._born_ms = 0
+        self._started_ms = 0
         self._site = site
         self._ledger = ledger
         self._random = random
@@ -65,7 +65,7 @@
     @property
     def life(self) -> str:
         """The id of its present life."""
-        return life_of(self.name, self._born_ms)
+        return instance_id_of(self.name, self._started_ms)
 
     async def start(self) -> None:
         """Begin a life: listen and register; it knows nothing of earlier lives."""
@@ -73,7 +73,7 @@
         self._sheds_until_s = float("-inf")
         self._says_leaving = False
         self._limit_per_s = None
-        self._born_ms = max(self._born_ms + 1, int(time.time() * 1000))
+        self._started_ms = max(self._started_ms + 1, int(time.time() * 1000))
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self._port = self._server.sockets[0].getsockname()[1]
         self._beating = asyncio.create_task(self._beat_on())
@@ -145,9 +145,9 @@
             8,
             self._state,
             replica=self.name,
-            born_ms=self._born_ms,
+            started_ms=self._started_ms,
         )
-        body = msgspec.json.encode(Beat(instance, self._sequence))
+        body = msgspec.json.encode(ReplicaHeartbeat(instance, self._sequence))
         member = self._random.choice(self._site.members)
         path = f"/v1/instances/{self.life}"
         if self._random.random() < GARBLED_SHARE:
--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -8,7 +8,7 @@
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.follower import GatewayFollower, GatewayHooks
 from crowsill.gateway.replica_book import ReplicaBook
-from crowsill.model.route_codec import pack
+from crowsill.model.route_codec import compress_document
 from crowsill.platform_ports import PlatformPorts
 from crowsill.settings import Address, ControlSettings, PeerSettings, Settings
 from crowsill.state.commands import PublishRoutes
@@ -83,7 +83,7 @@
 
     async def publish(self, version):
         """Have a version of the routes committed."""
-        command = SubmitCommand(PublishRoutes(pack(version, b"routes")))
+        command = SubmitCommand(PublishRoutes(compress_document(version, b"routes")))
 
         async def committed():
             for role, disk in zip(self.roles, self.disks, strict=True):
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -10,7 +10,7 @@
 from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.role import GatewayRole
 from crowsill.gateway.routing_table import GatewayTable
-from crowsill.model.instances import HeldModel, Instance, InstanceState
+from crowsill.model.instances import Instance, InstanceState, LoadedModel
 from crowsill.model.route_codec import JsonRouteCodec
 from crowsill.model.routes import (
     CallerLimits,
@@ -137,7 +137,7 @@
         self.role._on_current(1, monotonic_s())
         self.adopt(
             [
-                instance(replica, number, models=[HeldModel(name) for name in self._models])
+                instance(replica, number, models=[LoadedModel(name) for name in self._models])
                 for number, replica in enumerate(self._replicas, start=1)
             ]
         )
--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -100,7 +100,7 @@
         return ReplicaReport(
             core.incarnation,
             sorted(core.resident),
-            leaving=name in self.leaving,
+            draining=name in self.leaving,
             loading=sorted(core.loading),
         )
 
--- a/tests/patterns/engine_site.py
+++ b/tests/patterns/engine_site.py
@@ -17,7 +17,7 @@
 from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import NoChoice, SelectionLimits, choose
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 from crowsill.routing.engine_pace import EnginePace
 from crowsill.state.directory import DirectoryChange
 
@@ -106,7 +106,7 @@
 
 def _instance(number, models):
     """Return the engine of a number."""
-    held = [HeldModel(model) for model in models]
+    held = [LoadedModel(model) for model in models]
     zone = f"z{number % ZONES}"
     return Instance(f"i-{number}", SERVICE, f"127.0.0.1:{number + 1}", zone, SLOTS, models=held)
 
--- a/tests/patterns/test_gateways_without_knowledge.py
+++ b/tests/patterns/test_gateways_without_knowledge.py
@@ -14,7 +14,7 @@
 from crowsill.gateway.replica_book import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import SelectionLimits, choose
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 from tests.patterns.engine_site import popular_site
 
 GATEWAYS = 200
@@ -30,7 +30,7 @@
     for _ in range(GATEWAYS):
         records = [
             ReplicaRecord(
-                Instance(f"i-{place}", "s", "127.0.0.1:1", zone, 64, models=[HeldModel("m")])
+                Instance(f"i-{place}", "s", "127.0.0.1:1", zone, 64, models=[LoadedModel("m")])
             )
             for place, zone in enumerate(zones)
         ]
--- a/tests/patterns/test_model_that_is_on_its_way.py
+++ b/tests/patterns/test_model_that_is_on_its_way.py
@@ -14,7 +14,7 @@
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import NoChoice
 from crowsill.gateway.wait_estimates import estimate_wait
-from crowsill.model.instances import ComingModel, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, LoadingModel
 from crowsill.model.routes import ModelWeights, Route, RouteKind, WeightedService
 
 LOAD_S = 8.0
@@ -38,8 +38,8 @@
         "127.0.0.1:1",
         "z",
         8,
-        models=[HeldModel("n")],
-        coming=[ComingModel("m", LOAD_S)],
+        models=[LoadedModel("n")],
+        loading=[LoadingModel("m", LOAD_S)],
     )
     record = ReplicaRecord(instance)
     record.note_coming(0.0)
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -178,11 +178,11 @@
 
 def test_the_next_life_of_a_replica_knows_nothing_of_the_rest_or_the_leaving_of_the_last():
     book = ReplicaBook()
-    first = Instance("a@1", "s", "127.0.0.1:1", "z", 4, replica="a", born_ms=1)
+    first = Instance("a@1", "s", "127.0.0.1:1", "z", 4, replica="a", started_ms=1)
     book.adopt(DirectoryChange(1, [first], []), True, 0.0)
     book.find("a@1").availability.note_rest(100.0, 0.0)
     book.find("a@1").note_leaving(0.0)
-    later = msgspec.structs.replace(first, instance_id="a@2", born_ms=2)
+    later = msgspec.structs.replace(first, instance_id="a@2", started_ms=2)
     book.adopt(DirectoryChange(2, [later], ["a@1"]), False, 0.0)
     assert book.find("a@2").availability.exclusion(0.0) is None
 
--- a/tests/test_busy_engines.py
+++ b/tests/test_busy_engines.py
@@ -11,13 +11,13 @@
 from crowsill.backends.engine_calls import EngineReport, OrderAnswer
 from crowsill.control.engine_account import EngineAccount
 from crowsill.control.engine_jobs import EngineJobPorts, EngineJobs
-from crowsill.model.instances import Beat, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, ReplicaHeartbeat
 from crowsill.placement.copy_views import Job, JobReason
-from crowsill.state.commands import OrderKind, RecordBeat
+from crowsill.state.commands import OrderKind, RecordHeartbeat
 from crowsill.state.machine import StateMachine
 from crowsill.transport.messages import Submitted
 
-ENGINE = Instance("i-1", "s", "127.0.0.1:1", "z", 8, models=[HeldModel("m", 1, ["a1"])])
+ENGINE = Instance("i-1", "s", "127.0.0.1:1", "z", 8, models=[LoadedModel("m", 1, ["a1"])])
 EXCHANGE = Job("i-1", ("m/a1",), "m", "a2", False, 0.02, JobReason.ADAPTER)
 
 
@@ -55,7 +55,7 @@
 
     async def report(self, instance):
         self.reports = max(0, self.reports - 1)
-        held = [HeldModel("m", 1, sorted(self.held))]
+        held = [LoadedModel("m", 1, sorted(self.held))]
         return EngineReport(held, [], self.reports > 0, self.sequence)
 
 
@@ -73,7 +73,7 @@
         assert account.held == {"m": {"a2"}} and engines.held == {"a2"}
 
     machine = StateMachine()
-    machine.apply(RecordBeat(Beat(ENGINE, 1)))
+    machine.apply(RecordHeartbeat(ReplicaHeartbeat(ENGINE, 1)))
     ports = EngineJobPorts(machine, engines, submit, lambda: True, lambda instance_id: False)
     jobs = EngineJobs(ports, "n", 1, lambda: None)
     asyncio.run(body())
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -7,14 +7,16 @@
 from crowsill.gateway.replica_book import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import Choice, SelectionLimits, choose, own_estimate
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 from crowsill.routing.engine_pace import FIRST_TOKEN_MS, EngineDelay, EnginePace
 
 REQUESTS_A_S = 5
 
 
 def record(instance_id):
-    return ReplicaRecord(Instance(instance_id, "s", "127.0.0.1:1", "z", 4, models=[HeldModel("m")]))
+    return ReplicaRecord(
+        Instance(instance_id, "s", "127.0.0.1:1", "z", 4, models=[LoadedModel("m")])
+    )
 
 
 def request(tokens=1000):
--- a/tests/test_engine_signals.py
+++ b/tests/test_engine_signals.py
@@ -58,7 +58,7 @@
         engine, instance = await _engine(plain("503 Busy", "Retry-After: 5"))
         calls = PlatformEngineCalls()
         await calls.report(instance)
-        later = Instance("a@2", "s", instance.address, "z", 4, replica="a", born_ms=2)
+        later = Instance("a@2", "s", instance.address, "z", 4, replica="a", started_ms=2)
         await calls.report(later)
         assert len(engine.requests) == 2
         await engine.stop()
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -8,7 +8,7 @@
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.missing_resources import MOST_KEPT, MissingResources
 from crowsill.gateway.routing_table import OUTRANKING_URGENCY
-from crowsill.model.instances import ComingModel, HeldModel
+from crowsill.model.instances import LoadedModel, LoadingModel
 from tests.control_group import until
 from tests.gateway_world import (
     ID,
@@ -65,7 +65,7 @@
             await asyncio.sleep(0.2)
             assert here._replicas[0].requests == []
             here._models = ("m",)
-            here.adopt([instance(here._replicas[0], 1, models=[HeldModel("m")])])
+            here.adopt([instance(here._replicas[0], 1, models=[LoadedModel("m")])])
             assert (await caller.head())[0] == 200
 
     run(scenario())
@@ -94,13 +94,13 @@
         async with world(good, models=()) as here:
             loop = asyncio.get_running_loop()
             caller = await here.caller()
-            on_its_way = instance(here._replicas[0], 1, coming=[ComingModel("m", 1.2)])
+            on_its_way = instance(here._replicas[0], 1, loading=[LoadingModel("m", 1.2)])
             here.adopt([on_its_way])
             started_s = loop.time()
             caller.send("engine", headers=["crowsill-model: m"])
             await asyncio.sleep(1.0)
             here._models = ("m",)
-            here.adopt([instance(here._replicas[0], 1, models=[HeldModel("m")])])
+            here.adopt([instance(here._replicas[0], 1, models=[LoadedModel("m")])])
             assert (await caller.head())[0] == 200
             assert loop.time() - started_s >= 1.0
 
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -9,7 +9,7 @@
 from crowsill.control.announcer import AnnouncerPorts, GroupAnnouncer
 from crowsill.settings import Address
 from crowsill.state.commands import RecordControlAddress
-from crowsill.state.control_addresses import MOST_ADDRESSES
+from crowsill.state.control_addresses import MAX_CONTROL_ADDRESSES
 from crowsill.state.machine import StateMachine
 from crowsill.transport.group_contacts import MOST_REFERRED, GroupContacts
 from crowsill.transport.messages import Pong, Submitted
@@ -56,11 +56,11 @@
 
 def test_control_addresses_are_bounded_and_survive_a_snapshot():
     machine, other = StateMachine(), StateMachine()
-    for number in range(MOST_ADDRESSES + 3):
+    for number in range(MAX_CONTROL_ADDRESSES + 3):
         machine.apply(RecordControlAddress(f"10.0.0.1:{number}"))
     other.restore(machine.snapshot())
     assert other.control_addresses.addresses == machine.control_addresses.addresses
-    assert len(other.control_addresses.addresses) == MOST_ADDRESSES
+    assert len(other.control_addresses.addresses) == MAX_CONTROL_ADDRESSES
     assert other.digest() == machine.digest()
 
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -18,7 +18,7 @@
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import NoChoice
 from crowsill.gateway.wait_estimates import CHANCE_COMING, estimate_wait
-from crowsill.model.instances import ComingModel, Instance
+from crowsill.model.instances import Instance, LoadingModel
 from crowsill.model.routes import ModelWeights, Route, RouteKind
 
 SECONDS = st.floats(0.0, 30.0)
@@ -121,7 +121,7 @@
 
 
 def test_a_load_under_way_is_known_by_when_it_began():
-    record = engine(coming=[ComingModel("m", 2.0)])
+    record = engine(loading=[LoadingModel("m", 2.0)])
     record.note_coming(10.0)
     assert estimate([record], now_s=10.5) == WaitEstimate(1.5, CHANCE_COMING, 1.5)
     # Later words on the same engine repeat it, and what is overdue may take as long again.
--- a/tests/test_innocent_crowd.py
+++ b/tests/test_innocent_crowd.py
@@ -35,7 +35,7 @@
         watched, record = Watched(), CrashRecord()
         now_s = asyncio.get_running_loop().time()
         watched.guard.note_success(b"popular", now_s)
-        watched.guard.note_success(b"long ago", now_s - crash_guard.GOOD_LIFETIME_S - 1.0)
+        watched.guard.note_success(b"long ago", now_s - crash_guard.COMPLETION_VALIDITY_S - 1.0)
         for number, life in enumerate("abc"):
             requests = [suspect(b"popular"), suspect(b"culprit"), suspect(b"long ago")]
             record.record(life, requests, float(number))
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -9,46 +9,59 @@
 import msgspec
 
 from crowsill.control.leaving_replicas import LeavingReplicas
-from crowsill.model.instances import Beat, HeldModel, Instance, InstanceState, life_of
-from crowsill.state.commands import DrainInstance, RecordBeat, decode_batch, encode_batch
+from crowsill.model.instances import (
+    Instance,
+    InstanceState,
+    LoadedModel,
+    ReplicaHeartbeat,
+    instance_id_of,
+)
+from crowsill.state.commands import DrainInstance, RecordHeartbeat, decode_batch, encode_batch
 from crowsill.state.directory import Directory
 from crowsill.state.machine import StateMachine
 from crowsill.transport.connection import ConnectionLostError
 
 
-def life(born_ms=1, **more):
+def life(started_ms=1, **more):
     return Instance(
-        life_of("a", born_ms), "s", "127.0.0.1:1", "z", 4, replica="a", born_ms=born_ms, **more
+        instance_id_of("a", started_ms),
+        "s",
+        "127.0.0.1:1",
+        "z",
+        4,
+        replica="a",
+        started_ms=started_ms,
+        **more,
     )
 
 
 def test_heartbeats_that_say_ready_do_not_undo_it():
     directory = Directory()
-    directory.record(Beat(life(), 1))
+    directory.record(ReplicaHeartbeat(life(), 1))
     change = directory.drain("a@1")
     assert [item.state for item in change.changed] == [InstanceState.DRAINING]
     assert directory.drain("a@1") is None and directory.drain("b@1") is None
-    assert directory.record(Beat(life(), 2)) is None
+    assert directory.record(ReplicaHeartbeat(life(), 2)) is None
     # What it holds may still change, and its state does not with it.
-    directory.record(Beat(life(models=[HeldModel("m")]), 3))
+    directory.record(ReplicaHeartbeat(life(models=[LoadedModel("m")]), 3))
     found = directory.find("a@1")
-    assert (found.state, found.holds("m")) == (InstanceState.DRAINING, True)
+    assert (found.state, found.serves("m")) == (InstanceState.DRAINING, True)
 
 
 def test_the_next_life_is_ready_and_a_snapshot_keeps_the_last_one_leaving():
     directory, other = Directory(), Directory()
-    directory.record(Beat(life(), 1))
+    directory.record(ReplicaHeartbeat(life(), 1))
     directory.drain("a@1")
     other.load(directory.dump())
     assert not other.find("a@1").accepts_work
-    other.record(Beat(life(2), 1))
+    other.record(ReplicaHeartbeat(life(2), 1))
     assert other.find("a@2").accepts_work and other.find("a@1") is None
-    assert other.record(Beat(life(), 9)) is None
+    assert other.record(ReplicaHeartbeat(life(), 9)) is None
 
 
 def test_the_command_is_read_back_and_applied_once():
     machine = StateMachine()
-    machine.apply(RecordBeat(Beat(life(), 1)))
+    machine.apply(RecordHeartbeat(ReplicaHeartbeat(life(), 1)))
     command = decode_batch(encode_batch([DrainInstance("a@1")]))[0]
     assert [machine.apply(command).accepted for _ in range(2)] == [True, False]
     restored = StateMachine()
@@ -61,7 +74,7 @@
 
     def __init__(self, losing=0):
         self.machine = StateMachine()
-        self.machine.apply(RecordBeat(Beat(life(), 1)))
+        self.machine.apply(RecordHeartbeat(ReplicaHeartbeat(life(), 1)))
         self.submitted = []
         self._losing = losing
         self.leaving = LeavingReplicas(lambda: self.machine.directory, self.submit)
@@ -116,11 +129,13 @@
 def test_states_only_move_down_in_any_order_of_words_and_heartbeats():
     for order in ("bdb", "bbd", "dbb"):
         directory = Directory()
-        directory.record(Beat(life(), 0))
+        directory.record(ReplicaHeartbeat(life(), 0))
         for sequence, step in enumerate(order, start=1):
             if step == "d":
                 directory.drain("a@1")
             else:
-                models = [HeldModel(str(sequence))]
-                directory.record(Beat(msgspec.structs.replace(life(), models=models), sequence))
+                models = [LoadedModel(str(sequence))]
+                directory.record(
+                    ReplicaHeartbeat(msgspec.structs.replace(life(), models=models), sequence)
+                )
         assert directory.find("a@1").state is InstanceState.DRAINING
--- a/tests/test_lives_of_replicas.py
+++ b/tests/test_lives_of_replicas.py
@@ -13,8 +13,14 @@
 from returns.result import Success
 
 from crowsill.gateway.replica_book import ReplicaBook
-from crowsill.model.instances import Beat, HeldModel, Instance, InstanceState, life_of
-from crowsill.state.commands import OfferModels, RecordBeat, RemoveInstance
+from crowsill.model.instances import (
+    Instance,
+    InstanceState,
+    LoadedModel,
+    ReplicaHeartbeat,
+    instance_id_of,
+)
+from crowsill.state.commands import OfferModels, RecordHeartbeat, RemoveInstance
 from crowsill.state.directory import Directory
 from crowsill.state.machine import StateMachine
 from tests.platform_site import ROOT
@@ -28,23 +34,23 @@
 
 def beat(replica="i", born=None, sequence=1, port=1, state=READY, models=()):
     found = Instance(
-        life_of(replica, born),
+        instance_id_of(replica, born),
         "s",
         f"127.0.0.1:{port}",
         "z",
         4,
         state,
-        [HeldModel(name) for name in models],
+        [LoadedModel(name) for name in models],
         replica="" if born is None else replica,
-        born_ms=born or 0,
+        started_ms=born or 0,
     )
-    return Beat(found, sequence)
+    return ReplicaHeartbeat(found, sequence)
 
 
 def test_a_later_life_knows_nothing_of_the_earlier_one():
     directory = Directory()
     directory.record(beat(born=10, sequence=500, models=["a", "b"], state=DRAINING))
-    directory.offer("i@10", [HeldModel("a")], [])
+    directory.offer("i@10", [LoadedModel("a")], [])
     change = directory.record(beat(born=20, models=["c"]))
     assert change.removed == ["i@10"]
     (now,) = directory.instances
@@ -92,9 +98,9 @@
     models=st.sampled_from([(), ("a",), ("a", "b")]),
 )
 STEPS = st.one_of(
-    BEATS.map(RecordBeat),
+    BEATS.map(RecordHeartbeat),
     st.builds(RemoveInstance, st.sampled_from(["i@1", "i@2", "i@3", "j@2"])),
-    st.builds(lambda life: OfferModels(life, [HeldModel("a")]), st.sampled_from(["i@2", "j@1"])),
+    st.builds(lambda life: OfferModels(life, [LoadedModel("a")]), st.sampled_from(["i@2", "j@1"])),
 )
 
 
@@ -121,8 +127,8 @@
         assert len({item.address for item in instances}) == len(instances)
         for item in instances:
             assert item.instance_id not in removed
-            assert item.born_ms >= newest.get(item.replica_name, 0), "a step back"
-            newest[item.replica_name] = item.born_ms
+            assert item.started_ms >= newest.get(item.replica_name, 0), "a step back"
+            newest[item.replica_name] = item.started_ms
         known = {item.instance_id: item for item in instances}
         assert {record.instance.instance_id for record in book.of_service("s")} == set(known)
         assert all(
@@ -167,7 +173,7 @@
 def test_a_heartbeat_as_it_is_described_is_read():
     found = read_heartbeat("i-1", msgspec.json.encode({**GOOD, "born": 7, "remainingMs": 3}))
     instance = found.unwrap().instance
-    assert (instance.instance_id, instance.replica_name, instance.born_ms) == ("i-1@7", "i-1", 7)
+    assert (instance.instance_id, instance.replica_name, instance.started_ms) == ("i-1@7", "i-1", 7)
 
 
 @settings(max_examples=500)
--- a/tests/test_model_placer.py
+++ b/tests/test_model_placer.py
@@ -6,7 +6,7 @@
 from crowsill.backends.engine_calls import EngineReport, OrderAnswer
 from crowsill.control.engine_jobs import EngineJobPorts
 from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, StoreLimits
-from crowsill.model.instances import Beat, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, ReplicaHeartbeat
 from crowsill.model.routes import (
     CallerLimits,
     EngineLimits,
@@ -14,7 +14,7 @@
     RouteConfiguration,
     ServiceDefinition,
 )
-from crowsill.state.commands import OrderKind, RecordBeat, RemoveInstance
+from crowsill.state.commands import OrderKind, RecordHeartbeat, RemoveInstance
 from crowsill.state.machine import StateMachine
 from crowsill.transport.messages import Submitted
 
@@ -81,12 +81,12 @@
 
     def register(self, instance_id, port, *models, on_disk=()):
         instance = Instance(instance_id, "s", f"127.0.0.1:{port}", "z", 8)
-        held = [HeldModel(name) for name in models]
+        held = [LoadedModel(name) for name in models]
         near = list(models) + list(on_disk)
         found = Instance(
             instance.instance_id, "s", instance.address, "z", 8, models=held, on_disk=near
         )
-        self.machine.apply(RecordBeat(Beat(found, 1)))
+        self.machine.apply(RecordHeartbeat(ReplicaHeartbeat(found, 1)))
 
     async def until(self, condition, limit_s=10.0):
         async with asyncio.timeout(limit_s):
@@ -153,8 +153,8 @@
         async def report(self, instance):
             self.reports += 1
             if self.reports == 1:
-                return EngineReport([HeldModel("m0"), HeldModel("m1")], [], False, 0)
-            held = [HeldModel("m0"), HeldModel("m1"), HeldModel("m2")]
+                return EngineReport([LoadedModel("m0"), LoadedModel("m1")], [], False, 0)
+            held = [LoadedModel("m0"), LoadedModel("m1"), LoadedModel("m2")]
             return EngineReport(held, [], False, 2)
 
         reports = 0
@@ -207,11 +207,11 @@
     async def report(self, instance):
         self.reports += 1
         if self.reports == 1:
-            return EngineReport([HeldModel("m0"), HeldModel("m1")], [], False, 1)
+            return EngineReport([LoadedModel("m0"), LoadedModel("m1")], [], False, 1)
         if not self.is_busy and "m2" not in self.held and self.sequence == 2:
             self.held.append("m2")
         return EngineReport(
-            [HeldModel(name) for name in self.held], [], self.is_busy, self.sequence
+            [LoadedModel(name) for name in self.held], [], self.is_busy, self.sequence
         )
 
 
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -8,7 +8,7 @@
 import pytest
 from returns.result import Success
 
-from crowsill.model.route_codec import checked
+from crowsill.model.route_codec import decode_and_check
 from crowsill.model.tenants import RateUnit
 from tests.platform_site import ROOT, configuration
 
@@ -29,7 +29,7 @@
 
 def read(*tenants, **changes):
     document = configuration(3, tenants=list(tenants), **changes)
-    return checked(PlatformRouteCodec(), json.dumps(document).encode())
+    return decode_and_check(PlatformRouteCodec(), json.dumps(document).encode())
 
 
 def test_a_tenant_is_read_and_no_key_stays_in_it():
--- a/tests/test_proven_requests.py
+++ b/tests/test_proven_requests.py
@@ -82,7 +82,7 @@
         await end_under(group, second, "i-5", CULPRIT)
         assert not second.guard.is_quarantined(CROWD)
         assert second.guard.is_quarantined(CULPRIT)
-        assert len(group.machine.crashes.find(CULPRIT).ends) >= CRASH_LIMIT
+        assert len(group.machine.crashes.find(CULPRIT).crashed_instances) >= CRASH_LIMIT
         await second.watch.stop()
 
     run(scenario())
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.fingerprint import Fingerprints
 from crowsill.state.commands import ClearSuspects, RecordCrash
-from crowsill.state.crash_record import MOST_SUSPECTS, CrashRecord
+from crowsill.state.crash_record import MAX_SUSPECTS, CrashRecord
 from crowsill.state.machine import StateMachine
 from tests.crash_world import request, suspect
 from tests.gateway_world import ID, answer, good, run, world
@@ -94,7 +94,7 @@
     record = CrashRecord()
     for number, life in enumerate("abcdefgh"):
         record.record(life, [suspect(ran_s=0.4)], 10.0 + number * 0.03)
-    assert len(record.find(b"f").ends) == 1
+    assert len(record.find(b"f").crashed_instances) == 1
 
 
 def test_copies_sent_one_after_the_other_count_each():
@@ -112,10 +112,10 @@
     """
     record = CrashRecord()
     record.record("a", [suspect()], 10.05)
-    record.record("b", [suspect(ran_s=0.02, known_ends=1)], 10.06)
-    assert len(record.find(b"f").ends) == 2
-    record.record("c", [suspect(ran_s=0.02, known_ends=1)], 10.07)
-    assert len(record.find(b"f").ends) == 2, "it was sent beside the one before"
+    record.record("b", [suspect(ran_s=0.02, known_crashes=1)], 10.06)
+    assert len(record.find(b"f").crashed_instances) == 2
+    record.record("c", [suspect(ran_s=0.02, known_crashes=1)], 10.07)
+    assert len(record.find(b"f").crashed_instances) == 2, "it was sent beside the one before"
 
 
 def test_a_clock_that_jumps_back_hides_no_end():
@@ -129,11 +129,11 @@
     record = CrashRecord()
     for life, ended_s in (("a", 1.0), ("b", 2.0), ("c", 3.0)):
         record.record(life, [suspect(b"culprit")], ended_s)
-    for number in range(MOST_SUSPECTS + 50):
+    for number in range(MAX_SUSPECTS + 50):
         record.record(f"l{number}", [suspect(b"%d" % number)], 4.0 + number)
-    assert len(record.suspects) == MOST_SUSPECTS
+    assert len(record.suspects) == MAX_SUSPECTS
     assert record.find(b"culprit").is_quarantined
-    assert record.find(b"0") is None and record.find(b"%d" % (MOST_SUSPECTS + 49)) is not None
+    assert record.find(b"0") is None and record.find(b"%d" % (MAX_SUSPECTS + 49)) is not None
 
 
 LIVES = st.sampled_from(["a", "b", "c", "d"])
@@ -320,7 +320,7 @@
         record.record(life, ran, ended_s)
     if is_slow:
         assert not record.find(b"culprit").is_quarantined
-        record.record("i-4", [suspect(b"culprit", ran_s=culprit_s, known_ends=2)], 44.5)
+        record.record("i-4", [suspect(b"culprit", ran_s=culprit_s, known_crashes=2)], 44.5)
         assert record.find(b"crowd") is None
     assert record.find(b"culprit").is_quarantined
 
--- a/tests/test_registered_fleet.py
+++ b/tests/test_registered_fleet.py
@@ -8,10 +8,10 @@
 from crowsill.consensus.membership import Member, Membership
 from crowsill.consensus.replacement import GroupHealth, SelfRepair, next_membership
 from crowsill.gateway.replica_book import ReplicaBook
-from crowsill.model.instances import Beat, HeldModel, Instance, InstanceState
+from crowsill.model.instances import Instance, InstanceState, LoadedModel, ReplicaHeartbeat
 from crowsill.placement.load_window import LoadWindow
 from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
-from crowsill.state.commands import OfferModels, PublishRoutes, RecordBeat, RemoveInstance
+from crowsill.state.commands import OfferModels, PublishRoutes, RecordHeartbeat, RemoveInstance
 from crowsill.state.directory import Directory
 from crowsill.state.machine import StateMachine
 from crowsill.state.route_store import RouteDocument
@@ -20,9 +20,9 @@
 
 
 def beat(instance_id="i-1", sequence=1, address="127.0.0.1:1", state="ready", models=()):
-    held = [HeldModel(name) for name in models]
+    held = [LoadedModel(name) for name in models]
     found = Instance(instance_id, "s", address, "z", 4, InstanceState(state), held)
-    return Beat(found, sequence)
+    return ReplicaHeartbeat(found, sequence)
 
 
 # The directory.
@@ -54,9 +54,9 @@
 def test_what_is_withheld_stays_so_until_it_has_gone_and_come_again():
     directory = Directory()
     directory.record(beat(sequence=1, models=["a", "b"]))
-    directory.offer("i-1", [HeldModel("b")], [])
+    directory.offer("i-1", [LoadedModel("b")], [])
     # A heartbeat that was made before the unload still tells of both.
-    directory.record(Beat(beat(sequence=2, models=["a", "b"]).instance, 2))
+    directory.record(ReplicaHeartbeat(beat(sequence=2, models=["a", "b"]).instance, 2))
     assert [held.name for held in directory.find("i-1").models] == ["b"]
     directory.record(beat(sequence=3, models=["b"]))
     directory.record(beat(sequence=4, models=["b", "a"]))
@@ -75,7 +75,7 @@
 commands = st.lists(
     st.one_of(
         st.builds(
-            lambda number, sequence, state, models: RecordBeat(
+            lambda number, sequence, state, models: RecordHeartbeat(
                 beat(f"i-{number}", sequence, f"127.0.0.1:{number % 3}", state, models)
             ),
             st.integers(0, 5),
@@ -85,7 +85,9 @@
         ),
         st.builds(lambda number: RemoveInstance(f"i-{number}"), st.integers(0, 5)),
         st.builds(
-            lambda number, models: OfferModels(f"i-{number}", [HeldModel(item) for item in models]),
+            lambda number, models: OfferModels(
+                f"i-{number}", [LoadedModel(item) for item in models]
+            ),
             st.integers(0, 5),
             st.lists(st.sampled_from("abc"), unique=True),
         ),
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -13,7 +13,7 @@
 from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.replica_grants import ReplicaGrants
 from crowsill.gateway.replica_signals import read_signals
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import LimitReport
 from crowsill.routing.named_limit import RETURN_STEP_S, RETURN_STEPS, NamedLimit
 from crowsill.tenancy.grant_ledger import GRANT_LIFETIME_S
 from crowsill.transport.messages import GrantReply
@@ -312,7 +312,7 @@
         async with world(good) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0))
             here.role.book.note_limits(
-                [LimitWord("i-1", 1.0, 0.2)], asyncio.get_running_loop().time()
+                [LimitReport("i-1", 1.0, 0.2)], asyncio.get_running_loop().time()
             )
             assert (await (await here.caller()).ask("short"))[0] == 503
             assert len(leader.asked) == 1 and not here._replicas[0].requests
@@ -336,7 +336,7 @@
 def test_what_is_known_of_a_limit_does_not_depend_on_who_tells_it_first(told, random):
     # A replica names one limit at a time.
     told = list({named: (per_s, named, ended) for per_s, named, ended in told}.values())
-    words = [LimitWord("i", per_s, float(named), ended) for per_s, named, ended in told]
+    words = [LimitReport("i", per_s, float(named), ended) for per_s, named, ended in told]
     shuffled = random.sample(words, len(words))
     known = []
     for order in (words, shuffled, shuffled + words):
@@ -351,7 +351,7 @@
     """Return when requests arrive, by gateways that lag, and leaders that change."""
     random = Random(seed)
     limits, now_s, arrived_s = ReplicaLimits(), 100.0, []
-    word = LimitWord("i", per_s, 0.0)
+    word = LimitReport("i", per_s, 0.0)
     while now_s < 140.0:
         now_s += random.expovariate(per_s * random.choice([0.2, 3.0, 10.0]) + gateways * 0.2)
         if random.random() < 0.02:
@@ -377,7 +377,7 @@
 
 def test_those_who_are_refused_are_told_times_one_after_the_other():
     limits = ReplicaLimits()
-    limits.note([LimitWord("i", 2.0, 0.0)], 10.0)
+    limits.note([LimitReport("i", 2.0, 0.0)], 10.0)
     told_s = [limits.grant("i", 10.0).wait_s for _ in range(4)]
     assert told_s == [0.5, 1.0, 1.5, 2.0]
     # Those that can wait are told by a row of their own.
@@ -386,10 +386,10 @@
 
 def test_a_limit_that_was_named_anew_takes_the_return_back():
     limits = ReplicaLimits()
-    limits.note([LimitWord("i", 1.0, 0.0)], 10.0)
-    limits.note([LimitWord("i", 1.0, 2.0, 0.5)], 12.0)
+    limits.note([LimitReport("i", 1.0, 0.0)], 10.0)
+    limits.note([LimitReport("i", 1.0, 2.0, 0.5)], 12.0)
     assert limits.find("i").rate_per_s(13.0) == 4.0
-    limits.note([LimitWord("i", 1.0, 0.0)], 13.0)
+    limits.note([LimitReport("i", 1.0, 0.0)], 13.0)
     assert limits.find("i").rate_per_s(13.5) == 1.0
 
 
@@ -400,7 +400,7 @@
     while now_s < 130.0:
         now_s += random.expovariate(21.0)
         is_urgent = random.random() < 1.0 / 21.0
-        limits.note([LimitWord("i", 2.0, 0.0)], now_s)
+        limits.note([LimitReport("i", 2.0, 0.0)], now_s)
         asked[is_urgent] += 1
         granted[is_urgent] += limits.grant("i", now_s, is_urgent).is_granted
     # One a second cannot wait, twenty can; two a second are allowed.
--- a/tests/test_replica_overview.py
+++ b/tests/test_replica_overview.py
@@ -16,12 +16,12 @@
 from crowsill.control.replica_grants import ReplicaGrants
 from crowsill.control.replica_overview import RegisteredReplicaLine
 from crowsill.gateway.replica_book import ReplicaBook
-from crowsill.model.exclusions import MOST_TOLD
+from crowsill.model.exclusions import MAX_REPORTED_EXCLUSIONS
 from crowsill.model.fleet import FleetView
-from crowsill.model.instances import Beat, HeldModel, Instance
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.instances import Instance, LoadedModel, ReplicaHeartbeat
+from crowsill.model.replica_limits import LimitReport
 from crowsill.settings import HttpListener, Settings
-from crowsill.state.commands import DrainInstance, RecordBeat
+from crowsill.state.commands import DrainInstance, RecordHeartbeat
 from crowsill.state.directory import DirectoryChange
 from crowsill.state.machine import StateMachine
 from crowsill.transport.messages import EntryStatus
@@ -52,7 +52,7 @@
         entry = EntryStatus("g-1.abc", "g-1", "z", 0, gateway_view())
         entries = SimpleNamespace(live=lambda _now_s: [entry])
         grants = ReplicaGrants()
-        grants.note([LimitWord("i-3", 1.5, named_ago_s=0.2)])
+        grants.note([LimitReport("i-3", 1.5, advertised_ago_s=0.2)])
         self.reports = SimpleNamespace(live_entries=entries, replica_grants=grants)
 
 
@@ -62,8 +62,8 @@
     started, loop = threading.Event(), asyncio.new_event_loop()
     state = StateMachine()
     for number in range(1, 5):
-        models = [HeldModel("m")] if number == 4 else []
-        state.apply(RecordBeat(Beat(instance(number, models=models), 1)))
+        models = [LoadedModel("m")] if number == 4 else []
+        state.apply(RecordHeartbeat(ReplicaHeartbeat(instance(number, models=models), 1)))
     state.apply(DrainInstance("i-2"))
     digest = hashlib.sha256(TOKEN.encode()).hexdigest()
     servers = []
@@ -122,4 +122,4 @@
         book.find(f"i-{number}").availability.note_rest(5.0, now_s=0.0)
     book.find("i-59").note_leaving(0.0)
     told = book.excluded(0.0)
-    assert len(told) == MOST_TOLD and told[0].instance_id == "i-59"
+    assert len(told) == MAX_REPORTED_EXCLUSIONS and told[0].instance_id == "i-59"
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -16,7 +16,7 @@
 from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.holding import MOST_WAITING_TO_OPEN
 from crowsill.gateway.replica_signals import read_signals
-from crowsill.model.instances import HeldModel, InstanceState
+from crowsill.model.instances import InstanceState, LoadedModel
 from crowsill.routing.retry_after import LONGEST_REST_S
 from crowsill_lab.bench import returns
 from tests.gateway_world import (
@@ -169,7 +169,7 @@
             held = {1: "m", 2: "n"}
             here.adopt(
                 [
-                    instance(replica, number, models=[HeldModel(held[number])])
+                    instance(replica, number, models=[LoadedModel(held[number])])
                     for number, replica in enumerate(here._replicas, start=1)
                 ]
             )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -24,7 +24,7 @@
 
 def replica(name, resident=("m",), leaving=False, slots=8):
     description = ReplicaDescription(
-        name, ReplicaKind.ENGINE, "127.0.0.1:1", "z", "p", 100, slots, leaving=leaving
+        name, ReplicaKind.ENGINE, "127.0.0.1:1", "z", "p", 100, slots, draining=leaving
     )
     return ReplicaState(description, ReplicaReport("i", list(resident)))
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -6,14 +6,14 @@
 from crowsill.gateway.replica_book import ReplicaRecord
 from crowsill.gateway.request import CallerRequest, PromptPart
 from crowsill.gateway.selection import Choice, NoChoice, SelectionLimits, choose
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 from crowsill.model.replica_use import ReplicaUse
 
 LIMITS = SelectionLimits("z", 10)
 
 
 def record(instance_id, models=("m",), **more):
-    held = [HeldModel(name, 1, ["a1"] if name == "m" else []) for name in models]
+    held = [LoadedModel(name, 1, ["a1"] if name == "m" else []) for name in models]
     return ReplicaRecord(Instance(instance_id, "s", "127.0.0.1:1", "z", 4, models=held), **more)
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -86,7 +86,7 @@
 
 
 def test_whole_claims_are_bounded_and_no_used_key_is_forgotten(monkeypatch):
-    monkeypatch.setattr(claims_module, "MAX_WHOLE_CLAIMS", 50)
+    monkeypatch.setattr(claims_module, "MAX_FULL_CLAIMS", 50)
     machine = StateMachine()
     for number in range(300):
         assert claim(machine, "a", key=other_key(number)) is ClaimDecision.GRANTED
