--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -16,7 +16,7 @@
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.metrics import ORDERS
-from crowsill.model.instances import ComingModel, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, LoadingModel
 from crowsill.placement.copy_views import Job
 from crowsill.state.commands import Command, OfferModels, OrderKind, RemoveInstance
 from crowsill.state.machine import StateMachine
@@ -117,15 +117,15 @@
         instance: Instance,
         engine: EngineState,
         withheld: tuple[str, ...],
-        coming: tuple[ComingModel, ...] = (),
+        coming: tuple[LoadingModel, ...] = (),
     ) -> None:
         """Commit which models gateways may use at an engine, and which are being loaded there."""
         offered = [
-            HeldModel(name, 1, sorted(item for item in names if f"{name}/{item}" not in withheld))
+            LoadedModel(name, 1, sorted(item for item in names if f"{name}/{item}" not in withheld))
             for name, names in engine.held.items()
             if name not in withheld
         ]
-        command = OfferModels(instance.instance_id, offered, coming=list(coming))
+        command = OfferModels(instance.instance_id, offered, loading=list(coming))
         reply = await self._ports.submit(command)
         if not isinstance(reply, Submitted):
             raise JobFailedError("the offer of models could not be committed")
@@ -159,7 +159,7 @@
         else:
             # Gateways that know when the model will be loaded keep only those requests waiting
             # whose deadline allows it.
-            await self._offer_models(instance, engine, (), (ComingModel(job.model, job.load_s),))
+            await self._offer_models(instance, engine, (), (LoadingModel(job.model, job.load_s),))
             await self._wait_for_model(instance, engine, job.model, True, job.load_s)
             engine.held.setdefault(job.model, set())
         engine.loaded_at_s[resource] = monotonic_s()
@@ -285,7 +285,7 @@
             reported = self._ports.machine.directory.find_reported(instance.instance_id)
             if reported is None or self._ports.is_lost(instance.instance_id):
                 raise JobFailedError("the engine is gone")
-            if reported.holds(model) is present:
+            if reported.serves(model) is present:
                 return
             if monotonic_s() < next_report_s:
                 continue
--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -21,8 +21,8 @@
 from crowsill.placement.copy_views import EngineView, Job, ServiceView
 from crowsill.placement.demand import DemandEstimate
 from crowsill.placement.load_window import LoadWindow
-from crowsill.state.commands import RecordLacked
-from crowsill.state.lacked_models import most_lacked
+from crowsill.state.commands import RecordMissingModels
+from crowsill.state.missing_models import most_requested
 
 PLAN_INTERVAL_S = 0.1
 # Pause after a planning step as a multiple of the step's duration. Planning must leave most of the
@@ -176,19 +176,19 @@
         if self._has_inherited_missing:
             return
         self._has_inherited_missing = True
-        for resource, count in self._ports.engines.machine.lacked.requests.items():
+        for resource, count in self._ports.engines.machine.missing_models.requests.items():
             self._missing_requests[resource] = self._missing_requests.get(resource, 0.0) + count
 
     async def _record_missing(self) -> None:
         """Record the requests for missing models for the next leader."""
         while True:
             await asyncio.sleep(RECORD_MISSING_INTERVAL_S)
-            missing = most_lacked(self._missing_requests)
+            missing = most_requested(self._missing_requests)
             if (
                 self._has_inherited_missing
-                and missing != self._ports.engines.machine.lacked.requests
+                and missing != self._ports.engines.machine.missing_models.requests
             ):
-                await self._ports.engines.submit(RecordLacked(missing))
+                await self._ports.engines.submit(RecordMissingModels(missing))
 
     def _step_safely(self) -> None:
         """Plan once; an exception must not stop placement until the next change of leader."""
--- a/src/crowsill/gateway/crash_guard.py
+++ b/src/crowsill/gateway/crash_guard.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 
 from crowsill.model.suspects import (
+    COMPLETION_VALIDITY_S,
     CRASH_LIMIT,
-    GOOD_LIFETIME_S,
-    REPEAT_LIMIT,
+    RETRY_CRASH_LIMIT,
     SuspectChange,
-    is_another_end,
+    is_independent_crash,
 )
 
 # Bound of own observations that the group has not confirmed yet; reached only without a connection
@@ -77,7 +77,7 @@
 
     def may_repeat(self, fingerprint: bytes) -> bool:
         """Whether a gateway may retry the request without the caller sending it again."""
-        return self.crash_count(fingerprint) < REPEAT_LIMIT
+        return self.crash_count(fingerprint) < RETRY_CRASH_LIMIT
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
         """Whether the request may be sent to no replica.
@@ -104,7 +104,7 @@
         if is_full:
             self._recorded.clear()
         for item in change.changed:
-            self._set_recorded(item.fingerprint, set(item.ends))
+            self._set_recorded(item.fingerprint, set(item.crashed_instances))
 
     def _set_recorded(self, fingerprint: bytes, instance_ids: set[str]) -> None:
         if not instance_ids:
@@ -126,7 +126,7 @@
         """
         own = self._own.setdefault(fingerprint, _OwnCrashes())
         self._own.move_to_end(fingerprint)
-        if is_another_end(own.last_crash_at_s, sent_at_s, crashed_at_s):
+        if is_independent_crash(own.last_crash_at_s, sent_at_s, crashed_at_s):
             own.instance_ids.add(instance_id)
             own.last_crash_at_s = crashed_at_s
         if len(self._own) > MAX_OWN_SUSPECTS:
@@ -143,7 +143,7 @@
 
     def succeeded_recently(self, fingerprint: bytes, now_s: float) -> bool:
         """Whether the request got a complete response at this gateway recently."""
-        return self.seconds_since_success(fingerprint, now_s) < GOOD_LIFETIME_S
+        return self.seconds_since_success(fingerprint, now_s) < COMPLETION_VALIDITY_S
 
     def seconds_since_success(self, fingerprint: bytes, now_s: float) -> float:
         """Return the seconds since the request last succeeded here; infinite if it never did."""
--- a/src/crowsill/gateway/crash_watch.py
+++ b/src/crowsill/gateway/crash_watch.py
@@ -223,7 +223,7 @@
         self._guard.adopt(change, is_full)
         now_s = self._loop.time()
         for item in change.changed:
-            if item.ends and self._guard.succeeded_recently(item.fingerprint, now_s):
+            if item.crashed_instances and self._guard.succeeded_recently(item.fingerprint, now_s):
                 self._guard.clear_suspect(item.fingerprint)
                 self._clear_soon(item.fingerprint)
 
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -338,4 +338,4 @@
         request.model in missing_resources or request.resource in missing_resources
     ):
         return False
-    return record.instance.holds(request.model, request.adapter)
+    return record.instance.serves(request.model, request.adapter)
