--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -173,10 +173,10 @@
                     continue
                 self._outcome.give_up(waiting.give_up(choice, self._admission.rank(route)))
                 return
-            is_retry = self._progress.sendings > 0
+            is_retry = self._progress.attempts > 0
             if is_retry and not self._spend_retry():
-                why = NoReplicaReason.ALL_TRIED
-                self._outcome.give_up(waiting.give_up(why, self._admission.rank(route)))
+                reason = NoReplicaReason.ALL_TRIED
+                self._outcome.give_up(waiting.give_up(reason, self._admission.rank(route)))
                 return
             if self._progress.may_have_run:
                 rejection = await self._admission.charge_again(until_monotonic_s(deadline_at_s))
@@ -232,7 +232,7 @@
 
     def _spend_retry(self) -> bool:
         """Take a retry from the budget; return False if there may be none."""
-        if self._progress.sendings >= MAX_ATTEMPTS:
+        if self._progress.attempts >= MAX_ATTEMPTS:
             return False
         budget = self._context.budget(self._service)
         return budget.spend(self._loop.time(), self._context.gateways)
--- a/src/crowsill/gateway/exchange_log.py
+++ b/src/crowsill/gateway/exchange_log.py
@@ -70,7 +70,7 @@
     def _age_ms(self) -> float:
         return round((self._loop.time() - self._request.arrived_at_s) * 1000.0, 1)
 
-    def log_routed(self, choice: Choice, sending: int, version: int, directory: int) -> None:
+    def log_routed(self, choice: Choice, attempt_number: int, version: int, directory: int) -> None:
         """It goes to a replica."""
         record = choice.record
         now_s = self._loop.time()
@@ -91,7 +91,7 @@
             others=round(record.other_requests(now_s), 1),
             peers=round(record.peer_requests(now_s), 1),
             slowness=round(record.slowness_now(now_s), 2),
-            sending=sending,
+            sending=attempt_number,
             ms=self._age_ms(),
         )
 
@@ -157,19 +157,19 @@
         REPLICA_SIGNALS.labels("unreadable").inc()
         log_event(Event.SIGNAL_UNREADABLE, replica=record.instance.instance_id, word=unread)
 
-    def log_waiting(self, why: NoReplicaReason, directory: int) -> None:
+    def log_waiting(self, reason: NoReplicaReason, directory: int) -> None:
         """It waits."""
         log_event(
             Event.REQUEST_HELD,
             request=self.request_id,
             service=self.service,
             resource=self._request.resource,
-            why=why,
+            why=reason,
             directory=directory,
             ms=self._age_ms(),
         )
 
-    def log_finished(self, status: int, sendings: int, attempt: Attempt | None) -> None:
+    def log_finished(self, status: int, attempts: int, attempt: Attempt | None) -> None:
         """It was answered whole."""
         self._count("answered", attempt)
         first_ms, gap_ms = 0.0, 0.0
@@ -180,7 +180,7 @@
             Event.REQUEST_FINISHED,
             request=self.request_id,
             status=status,
-            sendings=sendings,
+            sendings=attempts,
             first_ms=round(first_ms, 1),
             gap_ms=round(gap_ms, 1),
             late=self._is_late(first_ms, gap_ms),
@@ -207,7 +207,7 @@
             resource=self._request.resource,
             kind=kind,
             detail=detail,
-            sendings=progress.sendings,
+            sendings=progress.attempts,
             may_have_run=progress.may_have_run,
             retry_after_s="" if retry_after_s is None else retry_after_s,
             returned=self._has_returned(),
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -53,21 +53,21 @@
         if not end.relayed:
             is_head = self._request.method == b"HEAD"
             self._caller.write(encode_complete_response(end, close, is_head))
-        self._log.log_finished(end.status, self._progress.sendings, self._progress.attempt)
+        self._log.log_finished(end.status, self._progress.attempts, self._progress.attempt)
         self._caller.finish(not close)
 
     def give_up(self, refused: RefusedRequest) -> None:
         """Reject the request because no replica can take it."""
-        why = refused.reason
+        reason = refused.reason
         if self._progress.may_have_run:
-            self.reject(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {why}")
+            self.reject(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {reason}")
             return
         kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last}"
-        if why is NoReplicaReason.NO_MODEL:
+        if reason is NoReplicaReason.NO_MODEL:
             kind, detail = ErrorKind.NO_REPLICA, "no replica holds the model yet"
-        elif why is NoReplicaReason.NO_REPLICA:
+        elif reason is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
-        elif why is NoReplicaReason.ALL_CLOSED:
+        elif reason is NoReplicaReason.ALL_CLOSED:
             detail = refused.detail or "every replica that could run it is closed for a moment"
         self.reject(kind, detail, round(refused.back_s, 2))
 
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -14,7 +14,7 @@
 
     Attributes:
         tried: Ids of instances that have had it.
-        sendings: How often it was sent.
+        attempts: How often it was sent.
         runs: How often a replica ran it, or may have.
         may_have_run: Whether "not run" may no longer be said.
         last: Why the last sending brought nothing, for the refusal.
@@ -23,7 +23,7 @@
     """
 
     tried: set[str] = field(default_factory=set)
-    sendings: int = 0
+    attempts: int = 0
     runs: int = 0
     may_have_run: bool = False
     last: str = ""
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -134,7 +134,7 @@
         """Log the chosen replica and the versions of routes and directory it was chosen by."""
         context = self._context
         version = 0 if context.table is None else context.table.version
-        self._log.log_routed(choice, self._progress.sendings + 1, version, context.registry.version)
+        self._log.log_routed(choice, self._progress.attempts + 1, version, context.registry.version)
 
     async def _acquire_grant(self, route: Route, record: ReplicaRecord) -> float | None:
         """Return until when the request may be sent to a replica; None if it may not be sent now.
@@ -192,7 +192,7 @@
         if record.availability.limit.holds:
             record.availability.sent_under_limit += 1
             SENT_UNDER_LIMIT.inc()
-        self._progress.sendings += 1
+        self._progress.attempts += 1
         self._progress.may_have_run = True
         connection.send(message, request.request_id, request.method == b"HEAD", attempt)
         return sent_at_s
