--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -8,7 +8,7 @@
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.selection import Choice, SelectionLimits, choose, own_estimate
 from crowsill.model.instances import Instance, LoadedModel
-from crowsill.routing.engine_latency import FIRST_TOKEN_MS, DecayingDelay, LatencyModel
+from crowsill.routing.engine_latency import INITIAL_TOKEN_MS, DecayingDelay, LatencyModel
 
 REQUESTS_A_S = 5
 
