--- a/spec/claims.py
+++ b/spec/claims.py
@@ -13,13 +13,13 @@
     ClaimKey,
     ClaimSettlement,
     OpenClaim,
-    RecordedAnswer,
+    RecordedResponse,
     SettleClaim,
 )
 
 ATTEMPTS = ("first", "second")
 _KEY = ClaimKey("tenant", "service", "key")
-_ANSWER = RecordedAnswer(200, "text/plain", b"")
+_ANSWER = RecordedResponse(200, "text/plain", b"")
 _RETENTION_S = 1e9
 
 # Phases of an attempt at its entry.
--- a/src/crowsill/control/quarantine_expiry.py
+++ b/src/crowsill/control/quarantine_expiry.py
@@ -23,6 +23,6 @@
     """
     while True:
         await asyncio.sleep(EXPIRY_INTERVAL_S)
-        due = record.older_than(wall_s() - quarantine_s)
+        due = record.inactive_since(wall_s() - quarantine_s)
         if due:
             await submit(ClearSuspects(due, "too old"))
--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -112,7 +112,7 @@
 
         What is gone is a life, so that the replica may start again under its name.
         """
-        lives = self._machine.directory.lives_of(replica) or [replica]
+        lives = self._machine.directory.instances_of(replica) or [replica]
         for instance_id in lives:
             if not await self._commit(RemoveInstance(instance_id), BEAT_TIMEOUT_S):
                 return Failure(Problem(ErrorKind.NO_LEADER, "no majority recorded the end"))
--- a/src/crowsill/control/subscribers.py
+++ b/src/crowsill/control/subscribers.py
@@ -128,9 +128,9 @@
             connection.push(RoutesUpdate(self._routes.current))
         # Versions of the directory are numbers of one history, so equal ones mean equal content.
         if heartbeat.directory_version < self._directory.version:
-            connection.push(DirectoryUpdate(self._directory.whole(), True))
+            connection.push(DirectoryUpdate(self._directory.full_change(), True))
         if heartbeat.suspects_version < self._crashes.version:
-            connection.push(SuspectsUpdate(self._crashes.whole(), True))
+            connection.push(SuspectsUpdate(self._crashes.full_change(), True))
 
     def push_routes(self) -> None:
         """Send the routes in force."""
@@ -147,8 +147,8 @@
     def push_everything(self) -> None:
         """Send all that gateways follow, after a snapshot has replaced it."""
         self.push_routes()
-        self._push_to_gateways(encode_push(DirectoryUpdate(self._directory.whole(), True)))
-        self._push_to_gateways(encode_push(SuspectsUpdate(self._crashes.whole(), True)))
+        self._push_to_gateways(encode_push(DirectoryUpdate(self._directory.full_change(), True)))
+        self._push_to_gateways(encode_push(SuspectsUpdate(self._crashes.full_change(), True)))
 
     def _push_to_gateways(self, payload: bytes) -> None:
         for connection in list(self._gateway_streams):
--- a/src/crowsill/pipeline/deduplicate.py
+++ b/src/crowsill/pipeline/deduplicate.py
@@ -20,7 +20,7 @@
     ClaimResult,
     ClaimSettlement,
     OpenClaim,
-    RecordedAnswer,
+    RecordedResponse,
     SettleClaim,
 )
 from crowsill.transport.messages import SubmitCommand, Submitted
@@ -133,8 +133,8 @@
             return Failure(Problem(ErrorKind.INTERNAL, "unexpected reply to a claim"))
         if result.decision is ClaimDecision.GRANTED:
             return Success(ClaimHandle(key, attempt))
-        if result.decision is ClaimDecision.ANSWERED and result.answer is not None:
-            answer = result.answer
+        if result.decision is ClaimDecision.ANSWERED and result.response is not None:
+            answer = result.response
             return Success(WholeAnswer(answer.status, answer.content_type, answer.body, True))
         return Failure(_PROBLEMS[result.decision])
 
@@ -142,7 +142,7 @@
         """Record the answer of a claimed request; one that is too large is not kept."""
         recorded = None
         if len(answer.body) <= MAX_RECORDED_BODY_BYTES:
-            recorded = RecordedAnswer(answer.status, answer.content_type, answer.body)
+            recorded = RecordedResponse(answer.status, answer.content_type, answer.body)
         self.settle(handle, ClaimSettlement.ANSWERED, recorded)
 
     def settle_problem(self, handle: ClaimHandle, problem: Problem) -> None:
@@ -152,7 +152,7 @@
         self.settle(handle, settlement, None)
 
     def settle(
-        self, handle: ClaimHandle, settlement: ClaimSettlement, answer: RecordedAnswer | None
+        self, handle: ClaimHandle, settlement: ClaimSettlement, answer: RecordedResponse | None
     ) -> None:
         """Settle in the background, for as long as it takes within a bound."""
         command = SettleClaim(handle.key, handle.attempt, settlement, answer, 0.0)
--- a/src/crowsill/state/claims.py
+++ b/src/crowsill/state/claims.py
@@ -18,13 +18,13 @@
     ClaimResult,
     ClaimSettlement,
     OpenClaim,
-    RecordedAnswer,
+    RecordedResponse,
     SettleClaim,
 )
 
 FULL_CLAIM_RETENTION_S = 3600.0
 MAX_FULL_CLAIMS = 8_000
-MAX_ANSWER_BYTES = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 
 class ClaimState(StrEnum):
@@ -45,7 +45,7 @@
         holder: Incarnation of the entry that runs it.
         state: Where it stands.
         opened_s: Wall clock of the grant; retention counts from it.
-        answer: The recorded answer, if any.
+        response: The recorded answer, if any.
     """
 
     fingerprint: bytes
@@ -53,7 +53,7 @@
     holder: str
     state: ClaimState
     opened_s: float
-    answer: RecordedAnswer | None = None
+    response: RecordedResponse | None = None
 
 
 def _may_take_over(claim: Claim, command: OpenClaim) -> bool:
@@ -65,8 +65,8 @@
 def _decide_known(claim: Claim, command: OpenClaim) -> ClaimResult:
     if claim.fingerprint != command.fingerprint:
         return ClaimResult(ClaimDecision.CONFLICT)
-    if claim.state is ClaimState.ANSWERED and claim.answer is not None:
-        return ClaimResult(ClaimDecision.ANSWERED, claim.answer)
+    if claim.state is ClaimState.ANSWERED and claim.response is not None:
+        return ClaimResult(ClaimDecision.ANSWERED, claim.response)
     if claim.state in (ClaimState.ANSWERED, ClaimState.UNKNOWN):
         return ClaimResult(ClaimDecision.UNKNOWN)
     if claim.state is ClaimState.RELEASED:
@@ -83,7 +83,7 @@
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
         self._claims: dict[ClaimKey, Claim] = {}
-        self._answer_bytes = 0
+        self._response_bytes = 0
         self._archive = ClaimArchive()
 
     def __len__(self) -> int:
@@ -97,7 +97,7 @@
             return ClaimResult(ClaimDecision.UNKNOWN)
         if claim is not None and _may_take_over(claim, command):
             # Not run so far: another attempt may have it.
-            self._take_out(command.key)
+            self._remove(command.key)
             claim = None
         if claim is None:
             self._claims[command.key] = Claim(
@@ -120,8 +120,8 @@
         if command.settlement is ClaimSettlement.ANSWERED:
             # This also corrects an outcome that was given up as unknown.
             claim.state = ClaimState.ANSWERED
-            claim.answer = command.answer
-            self._answer_bytes += _answer_size(claim)
+            claim.response = command.response
+            self._response_bytes += _response_size(claim)
             return True
         if claim.state is ClaimState.UNKNOWN:
             return False
@@ -152,17 +152,17 @@
         while self._claims:
             key = next(iter(self._claims))
             claim = self._claims[key]
-            over = len(self._claims) > MAX_FULL_CLAIMS or self._answer_bytes > MAX_ANSWER_BYTES
+            over = len(self._claims) > MAX_FULL_CLAIMS or self._response_bytes > MAX_RESPONSE_BYTES
             if claim.opened_s >= whole_after_s and not over:
                 return
-            self._take_out(key)
+            self._remove(key)
             # A released claim was not run, and may be claimed afresh.
             if claim.state is not ClaimState.RELEASED:
                 self._archive.add(key_digest(key), claim.opened_s)
                 require(key_digest(key) in self._archive, "a used key is not forgotten")
 
-    def _take_out(self, key: ClaimKey) -> None:
-        self._answer_bytes -= _answer_size(self._claims.pop(key))
+    def _remove(self, key: ClaimKey) -> None:
+        self._response_bytes -= _response_size(self._claims.pop(key))
 
     def dump(self) -> list[tuple[ClaimKey, Claim]]:
         """Return the whole claims for a snapshot."""
@@ -175,9 +175,9 @@
     def load(self, claims: list[tuple[ClaimKey, Claim]], archive: list[ClaimBucket]) -> None:
         """Replace everything from a snapshot."""
         self._claims = dict(claims)
-        self._answer_bytes = sum(_answer_size(claim) for claim in self._claims.values())
+        self._response_bytes = sum(_response_size(claim) for claim in self._claims.values())
         self._archive.load(archive)
 
 
-def _answer_size(claim: Claim) -> int:
-    return 0 if claim.answer is None else len(claim.answer.body)
+def _response_size(claim: Claim) -> int:
+    return 0 if claim.response is None else len(claim.response.body)
--- a/src/crowsill/state/commands.py
+++ b/src/crowsill/state/commands.py
@@ -21,7 +21,7 @@
     key: str
 
 
-class RecordedAnswer(msgspec.Struct, frozen=True, array_like=True):
+class RecordedResponse(msgspec.Struct, frozen=True, array_like=True):
     """A back end's whole answer to an unsafe request, kept for resends."""
 
     status: int
@@ -69,14 +69,14 @@
         key: The request's identity.
         attempt: The attempt that held the claim.
         settlement: How it ended.
-        answer: The answer, when it was answered and is small enough to keep.
+        response: The answer, when it was answered and is small enough to keep.
         at_s: Wall clock of the leader.
     """
 
     key: ClaimKey
     attempt: str
     settlement: ClaimSettlement
-    answer: RecordedAnswer | None
+    response: RecordedResponse | None
     at_s: float
 
 
@@ -306,7 +306,7 @@
     """The answer to `OpenClaim`."""
 
     decision: ClaimDecision
-    answer: RecordedAnswer | None = None
+    response: RecordedResponse | None = msgspec.field(default=None, name="answer")
 
 
 class Acknowledged(msgspec.Struct, frozen=True, tag="acknowledged"):
--- a/src/crowsill/state/configuration_store.py
+++ b/src/crowsill/state/configuration_store.py
@@ -45,7 +45,7 @@
         """
         known = self._find(change.change_id)
         if known is not None:
-            return self._answer_known(known, change)
+            return self._result_of_known(known, change)
         revision = self.current.revision
         if change.base_revision != revision:
             return self._conflict(change)
@@ -67,7 +67,7 @@
         matches = (item for item in reversed(self._history) if item.change_id == change_id)
         return next(matches, None)
 
-    def _answer_known(
+    def _result_of_known(
         self, known: AcceptedChange, change: ConfigurationChange
     ) -> ConfigurationResult:
         if known.content == change.content:
--- a/src/crowsill/state/crash_record.py
+++ b/src/crowsill/state/crash_record.py
@@ -38,7 +38,7 @@
 
     version: int = 0
     suspects: list[Suspect] = []
-    whole_s: list[tuple[bytes, float]] = []
+    completed_at_s: list[tuple[bytes, float]] = []
 
 
 class CrashRecord:
@@ -62,7 +62,7 @@
         self.last_change: SuspectChange | None = None
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
         # Wall clock when each request ended whole last, as far as gateways spoke for it.
-        self._whole_s: OrderedDict[bytes, float] = OrderedDict()
+        self._completed_at_s: OrderedDict[bytes, float] = OrderedDict()
 
     @property
     def suspects(self) -> list[Suspect]:
@@ -92,8 +92,8 @@
             self._suspects.move_to_end(request.fingerprint)
             changed[request.fingerprint] = counted.counted_crashes
         if any(len(crashed_instances) == CRASH_LIMIT for crashed_instances in changed.values()):
-            changed.update(self._exonerate())
-            changed.update(self._spare())
+            changed.update(self._clear_explained())
+            changed.update(self._excuse_long_running())
         while len(self._suspects) > MAX_SUSPECTS:
             changed[self._forget_one()] = []
         return self._changed(changed)
@@ -101,7 +101,10 @@
     def _count(self, life: str, request: SuspectRequest, ended_s: float) -> Suspect | None:
         """Count an end against a request; None where it says nothing new."""
         # A clock that jumped leaves no request unseen for longer.
-        if abs(ended_s - self._whole_s.get(request.fingerprint, -math.inf)) < COMPLETION_VALIDITY_S:
+        if (
+            abs(ended_s - self._completed_at_s.get(request.fingerprint, -math.inf))
+            < COMPLETION_VALIDITY_S
+        ):
             return None
         known = self._suspects.get(request.fingerprint)
         if known is None:
@@ -123,7 +126,7 @@
             ran_s=[*known.ran_s, request.ran_s],
         )
 
-    def _exonerate(self) -> dict[bytes, list[str]]:
+    def _clear_explained(self) -> dict[bytes, list[str]]:
         """Forget what is held back for ends that are all explained by others that are.
 
         Others explain an end if they have ended a replica besides. So a crowd that had never ended
@@ -144,7 +147,7 @@
             del self._suspects[key]
         return {key: [] for key in cleared}
 
-    def _spare(self) -> dict[bytes, list[str]]:
+    def _excuse_long_running(self) -> dict[bytes, list[str]]:
         """Spare each request one end at which it had run far longer than one that is held back.
 
         What ends replicas does so as soon as it runs; what ran beside it was sent at any time
@@ -181,7 +184,7 @@
         del self._suspects[fingerprint]
         return fingerprint
 
-    def note_whole(self, fingerprint: bytes, whole_s: float) -> None:
+    def note_completion(self, fingerprint: bytes, completed_at_s: float) -> None:
         """Take in when a request ended whole, so that ends soon after do not count against it.
 
         The gateway that saw it may be gone when replicas end at the others. In soaks that kill
@@ -189,24 +192,26 @@
 
         Args:
             fingerprint: The request.
-            whole_s: Wall clock; minus infinite where that is not known.
+            completed_at_s: Wall clock; minus infinite where that is not known.
 
         >>> record, seen = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
-        >>> record.note_whole(b"f", 10.0)
+        >>> record.note_completion(b"f", 10.0)
         >>> record.record("a", [seen], 69.0), record.record("a", [seen], 70.0).version
         (None, 1)
         """
-        self._whole_s[fingerprint] = max(whole_s, self._whole_s.get(fingerprint, whole_s))
-        self._whole_s.move_to_end(fingerprint)
-        if len(self._whole_s) > MAX_COMPLETIONS:
-            self._whole_s.popitem(last=False)
+        self._completed_at_s[fingerprint] = max(
+            completed_at_s, self._completed_at_s.get(fingerprint, completed_at_s)
+        )
+        self._completed_at_s.move_to_end(fingerprint)
+        if len(self._completed_at_s) > MAX_COMPLETIONS:
+            self._completed_at_s.popitem(last=False)
 
     def clear(self, fingerprints: list[bytes]) -> SuspectChange | None:
         """Forget requests; return what changed, or None."""
         known = [item for item in fingerprints if self._suspects.pop(item, None) is not None]
         return self._changed({item: [] for item in known})
 
-    def older_than(self, horizon_s: float) -> list[bytes]:
+    def inactive_since(self, horizon_s: float) -> list[bytes]:
         """Return those under which no replica has ended since a wall clock."""
         return [
             fingerprint
@@ -224,7 +229,7 @@
         self.last_change = SuspectChange(self.version, crashed_instances)
         return self.last_change
 
-    def whole(self) -> SuspectChange:
+    def full_change(self) -> SuspectChange:
         """Return everything as one change."""
         crashed_instances = [
             SuspectCrashes(key, item.counted_crashes) for key, item in self._suspects.items()
@@ -233,10 +238,10 @@
 
     def dump(self) -> CrashRecordSnapshot:
         """Return the state for a snapshot."""
-        return CrashRecordSnapshot(self.version, self.suspects, list(self._whole_s.items()))
+        return CrashRecordSnapshot(self.version, self.suspects, list(self._completed_at_s.items()))
 
     def load(self, snapshot: CrashRecordSnapshot) -> None:
         """Replace the state by that of a snapshot."""
         self.version = snapshot.version
         self._suspects = OrderedDict((item.request.fingerprint, item) for item in snapshot.suspects)
-        self._whole_s = OrderedDict(snapshot.whole_s)
+        self._completed_at_s = OrderedDict(snapshot.completed_at_s)
--- a/src/crowsill/state/directory.py
+++ b/src/crowsill/state/directory.py
@@ -107,17 +107,17 @@
             return False
         known = self._entries.get(instance.instance_id)
         if known is None:
-            return not self._is_outlived(instance)
+            return not self._is_superseded(instance)
         if heartbeat.sequence <= known.heartbeat.sequence:
             return False
         reported = known.heartbeat.instance
         return _sticky_state(reported, instance) != reported
 
-    def lives_of(self, replica: str) -> list[str]:
+    def instances_of(self, replica: str) -> list[str]:
         """Return the ids of the lives of a replica that are not gone."""
         return [item.instance_id for item in self.reported if item.replica_name == replica]
 
-    def _is_outlived(self, instance: Instance) -> bool:
+    def _is_superseded(self, instance: Instance) -> bool:
         """Whether a later life of the replica is known, or of whoever has its address now."""
         if instance.started_ms < self._newest_started_ms.get(instance.replica_name, 0):
             return True
@@ -139,7 +139,7 @@
         if not self.changes(heartbeat):
             return None
         instance = heartbeat.instance
-        removed = self._displace(instance)
+        removed = self._remove_replaced(instance)
         self._note_started(instance)
         known = self._entries.get(instance.instance_id)
         offered_models: list[LoadedModel] | None = None
@@ -147,7 +147,7 @@
         if known is not None:
             instance = _sticky_state(known.heartbeat.instance, instance)
             if known.offered_models is not None:
-                offered_models = _follow(
+                offered_models = _carry_over(
                     known.offered_models, known.heartbeat.instance.models, instance.models
                 )
             held = {
@@ -184,7 +184,7 @@
         self.last_change = DirectoryChange(self.version, changed, removed)
         return self.last_change
 
-    def _displace(self, instance: Instance) -> list[str]:
+    def _remove_replaced(self, instance: Instance) -> list[str]:
         """Whoever had this address before is gone, and so are earlier lives of the replica."""
         former = [
             known.instance_id
@@ -225,7 +225,7 @@
         self._forget(instance_id)
         return self._changed([], [instance_id]) if known else None
 
-    def whole(self) -> DirectoryChange:
+    def full_change(self) -> DirectoryChange:
         """Return everything as one change."""
         return DirectoryChange(self.version, self.instances, [])
 
@@ -249,13 +249,13 @@
     return reported
 
 
-def _follow(
+def _carry_over(
     offered_models: list[LoadedModel], before: list[LoadedModel], after: list[LoadedModel]
 ) -> list[LoadedModel]:
     """Carry over to what is offered what has come and gone between two heartbeats.
 
     >>> held = LoadedModel("a"), LoadedModel("b"), LoadedModel("c")
-    >>> [item.name for item in _follow([held[0]], [held[0], held[1]], list(held))]
+    >>> [item.name for item in _carry_over([held[0]], [held[0], held[1]], list(held))]
     ['a', 'c']
     """
     old = {held.name: set(held.adapters) for held in before}
--- a/src/crowsill/state/machine.py
+++ b/src/crowsill/state/machine.py
@@ -136,7 +136,7 @@
         """Apply what was seen of requests under which replicas ended; return whether it is new."""
         if isinstance(note, ClearSuspects):
             for fingerprint, ago_s in zip(note.fingerprints, note.completed_ago_s, strict=False):
-                self.crashes.note_whole(fingerprint, note.at_s - ago_s)
+                self.crashes.note_completion(fingerprint, note.at_s - ago_s)
             return self.crashes.clear(note.fingerprints) is not None
         return (
             self.crashes.record(note.instance_id, note.requests, note.at_s - note.ago_s) is not None
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -109,7 +109,7 @@
     async def scenario():
         record, watched = CrashRecord(), Watched()
         record.record("a", [suspect()], 1.0)
-        watched.guard.adopt(record.whole(), True)
+        watched.guard.adopt(record.full_change(), True)
         watched.watch.note_success(b"f")
         watched.watch.note_success(b"f")
         assert not watched.guard.has_suspects
--- a/tests/test_lives_of_replicas.py
+++ b/tests/test_lives_of_replicas.py
@@ -115,7 +115,7 @@
             restored = StateMachine()
             restored.restore(machine.snapshot())
             machine, registry = restored, ReplicaRegistry()
-            registry.adopt(machine.directory.whole(), True, 0.0)
+            registry.adopt(machine.directory.full_change(), True, 0.0)
         changed = machine.apply(step).accepted
         if changed:
             registry.adopt(machine.directory.last_change, False, 0.0)
--- a/tests/test_proven_requests.py
+++ b/tests/test_proven_requests.py
@@ -27,7 +27,7 @@
     def start_gateway(self):
         """Start a gateway that remembers nothing, and is told all that is recorded."""
         gateway = Watched()
-        gateway.watch.adopt(self.machine.crashes.whole(), True)
+        gateway.watch.adopt(self.machine.crashes.full_change(), True)
         self.gateways.append(gateway)
         return gateway
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -165,7 +165,7 @@
             restored = StateMachine()
             restored.restore(machine.snapshot())
             machine = restored
-            latecomer.adopt(machine.crashes.whole(), True)
+            latecomer.adopt(machine.crashes.full_change(), True)
         before = machine.crashes.version
         stamped = type(command)(**{**_fields(command), "at_s": 10.0 + number})
         changed = machine.apply(stamped).accepted
@@ -207,7 +207,7 @@
     record = CrashRecord()
     for life, ended_s in (("a", 1.0), ("b", 2.0), ("c", 3.0)):
         record.record(life, [suspect(fingerprint)], ended_s)
-    role.crash_guard.adopt(record.whole(), True)
+    role.crash_guard.adopt(record.full_change(), True)
 
 
 def test_what_is_held_back_is_refused_at_once_and_not_blamed_on_the_caller():
@@ -248,7 +248,7 @@
             found = request(target=b"/once/x?q=1", host="h.example", body=b"s")
             record = CrashRecord()
             record.record("a", [suspect(role.fingerprints.of(found, ""))], 1.0)
-            role.crash_guard.adopt(record.whole(), True)
+            role.crash_guard.adopt(record.full_change(), True)
             callers = [await played.caller() for _ in range(3)]
             asking = [
                 asyncio.create_task(caller.ask("once", f"r{number}", b"s"))
@@ -305,7 +305,7 @@
     assert held_back == {b"culprit"}
     follower, latecomer = CrashGuard(), CrashGuard()
     follower.adopt(record.last_change, False)
-    latecomer.adopt(record.whole(), True)
+    latecomer.adopt(record.full_change(), True)
     for guard in (follower, latecomer):
         assert guard.is_quarantined(b"culprit") and not guard.is_quarantined(b"crowd")
         assert not guard.may_repeat(b"crowd"), "it is sent once, and not again within its attempt"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -21,13 +21,13 @@
     OpenClaim,
     OrderKind,
     PlaceOrder,
-    RecordedAnswer,
+    RecordedResponse,
     SettleClaim,
 )
 from crowsill.state.machine import StateMachine
 
 KEY = ClaimKey("t", "s", "k")
-ANSWER = RecordedAnswer(200, "text/plain", b"done")
+ANSWER = RecordedResponse(200, "text/plain", b"done")
 
 
 def claim(machine, attempt, holder="e1", fingerprint=b"f", at_s=0.0, key=KEY):
@@ -46,7 +46,7 @@
     assert claim(machine, "b", fingerprint=b"other") is ClaimDecision.CONFLICT
     assert settle(machine, "a", ClaimSettlement.ANSWERED, ANSWER)
     result = machine.apply(OpenClaim(KEY, b"f", "b", "e2", 0.0))
-    assert (result.decision, result.answer) == (ClaimDecision.ANSWERED, ANSWER)
+    assert (result.decision, result.response) == (ClaimDecision.ANSWERED, ANSWER)
 
 
 def test_a_released_claim_goes_to_another_attempt_but_not_to_a_late_copy():
@@ -97,14 +97,14 @@
 
 
 def test_kept_answers_are_bounded_in_bytes(monkeypatch):
-    monkeypatch.setattr(claims_module, "MAX_ANSWER_BYTES", 1000)
+    monkeypatch.setattr(claims_module, "MAX_RESPONSE_BYTES", 1000)
     machine = StateMachine()
-    answer = RecordedAnswer(200, "text/plain", b"x" * 100)
+    answer = RecordedResponse(200, "text/plain", b"x" * 100)
     for number in range(50):
         key = other_key(number)
         claim(machine, "a", key=key)
         machine.apply(SettleClaim(key, "a", ClaimSettlement.ANSWERED, answer, 0.0))
-    kept = sum(len(item.answer.body) for _, item in machine.claims.dump() if item.answer)
+    kept = sum(len(item.response.body) for _, item in machine.claims.dump() if item.response)
     assert kept <= 1100 and len(machine.claims) == 50
 
 
