--- a/src/crowsill/cli/main.py
+++ b/src/crowsill/cli/main.py
@@ -22,7 +22,7 @@
 )
 from crowsill.cli.files import load_content
 from crowsill.cli.trace import LogLine, parse_line, story
-from crowsill.control.operations import PlanAnswer, Status
+from crowsill.control.operations import PlanResponse, Status
 from crowsill.model.configuration import (
     Configuration,
     ConfigurationChange,
@@ -50,15 +50,15 @@
     return content
 
 
-def _plan(client: OperatorClient, content: ConfigurationContent) -> PlanAnswer:
-    answered = client.post("/v1/plan", content, PlanAnswer)
+def _plan(client: OperatorClient, content: ConfigurationContent) -> PlanResponse:
+    answered = client.post("/v1/plan", content, PlanResponse)
     if not isinstance(answered, Success):
         fail(answered.failure())
-    answer: PlanAnswer = answered.unwrap()
+    answer: PlanResponse = answered.unwrap()
     return answer
 
 
-def _show_plan(plan: PlanAnswer) -> None:
+def _show_plan(plan: PlanResponse) -> None:
     typer.echo(f"based on revision {plan.revision}")
     for line in plan.differences or ["no differences"]:
         typer.echo(line)
--- a/src/crowsill/cli/quarantine.py
+++ b/src/crowsill/cli/quarantine.py
@@ -14,7 +14,7 @@
     echo_json,
     fail,
 )
-from crowsill.control.operations import LiftAnswer, LiftRequest, QuarantineLine
+from crowsill.control.operations import LiftRequest, LiftResponse, QuarantineLine
 
 application = typer.Typer(
     no_args_is_help=True, help="Look at or lift what is held back because replicas ended under it."
@@ -54,7 +54,7 @@
 def lift(fingerprint: str, settings: SettingsOption = DEFAULT_SETTINGS) -> None:
     """Let the request with this FINGERPRINT be sent to replicas again."""
     body = LiftRequest(fingerprint)
-    answered = client_of(settings).post("/v1/quarantine/lift", body, LiftAnswer)
+    answered = client_of(settings).post("/v1/quarantine/lift", body, LiftResponse)
     if not isinstance(answered, Success):
         fail(answered.failure())
     typer.echo("lifted" if answered.unwrap().lifted else "nothing was counted against it")
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -1,4 +1,4 @@
-"""Runs the consensus core: clock, disk, network and state machine around it."""
+"""Runs the consensus core with its clock, disk, network and state machine."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,22 +29,22 @@
 from crowsill.transport.messages import NotLeader, Submitted, Undecided
 
 SNAPSHOT_JOURNAL_BYTES = 16 * 1024 * 1024
-SNAPSHOT_KEPT_ENTRIES = 500
+SNAPSHOT_RETAINED_ENTRIES = 500
 MAX_BATCH_COMMANDS = 512
-SAVE_RETRY_S = 0.1
-# A write that takes this long, and a pause of the event loop this long, are logged: a member that
-# is silent for an election timeout (0.5 s) loses its lease.
-SLOW_SAVE_S = 0.3
-STALL_S = 0.3
+SAVE_RETRY_INTERVAL_S = 0.1
+# Slower writes and longer pauses of the event loop are logged: a member that is silent for an
+# election timeout (0.5 s) loses its lease.
+SLOW_SAVE_THRESHOLD_S = 0.3
+STALL_THRESHOLD_S = 0.3
 
-Answer = Submitted | NotLeader | Undecided
+SubmitResult = Submitted | NotLeader | Undecided
 
 
 @dataclass(slots=True)
 class _PendingCommand:
     command: Command
-    answer: asyncio.Future[Answer]
-    proposed_s: float
+    result_future: asyncio.Future[SubmitResult]
+    submitted_at_s: float
 
 
 @dataclass(slots=True)
@@ -54,12 +54,12 @@
 
 
 class ConsensusDriver:
-    """Drives one member of one group.
+    """Runs one member of one group.
 
     Attributes:
         node: The consensus core.
-        machine: The state machine that it drives.
-        applied_index: Last entry applied to the state machine.
+        machine: The state machine to which committed entries are applied.
+        applied_index: Index of the last entry applied to the state machine.
     """
 
     def __init__(
@@ -76,13 +76,13 @@
         on_role: Callable[[Role], None],
         on_restored: Callable[[], None],
     ) -> None:
-        """Take over a restored member.
+        """Wrap a recovered member.
 
         Args:
             node: The consensus core.
             journal: Its open journal.
             machine: The state machine, at `applied_index`.
-            applied_index: Last entry contained in the machine.
+            applied_index: Index of the last entry contained in the state machine.
             applied_membership: Membership at that entry.
             send: Sends messages to other members; may drop them.
             tick_s: Interval of the core's clock.
@@ -99,7 +99,7 @@
         self._send = send
         self._tick_s = tick_s
         self._on_applied = on_applied
-        self._is_to_announce = False
+        self._must_announce_commit = False
         self._on_role = on_role
         self._on_restored = on_restored
         self._role = Role.FOLLOWER
@@ -111,15 +111,15 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads and knows everything committed."""
+        """Whether this member leads and knows every committed entry."""
         return self.node.is_settled_leader
 
     def has_lease(self) -> bool:
         """Whether this member is provably the only leader, and has applied all of earlier terms.
 
-        A lease alone proves nothing about the state machine: other members may confirm the first
-        entry of a term while this member's own write of it hangs, and until then what the former
-        leader acknowledged is not applied here.
+        A lease alone proves nothing about the state machine. Other members may confirm the first
+        entry of a term while this member's own write of that entry hangs. Until the write ends,
+        entries acknowledged by the former leader may not be applied here.
         """
         leader = self.node.leader
         if leader is None or self.applied_index < leader.first_index:
@@ -133,13 +133,13 @@
         return None if member is None else f"{member.host}:{member.port}"
 
     def receive(self, envelopes: list[Envelope]) -> None:
-        """Take in messages from other members."""
+        """Handle messages from other members."""
         now_s = monotonic_s()
         for envelope in envelopes:
             self.node.step(now_s, envelope)
         self._wake.set()
 
-    async def submit(self, command: Command) -> Answer:
+    async def submit(self, command: Command) -> SubmitResult:
         """Commit and apply a command.
 
         The leader stamps it with its own wall clock.
@@ -147,16 +147,16 @@
         if not self.is_leader or self._stopping:
             return NotLeader(self.leader_address())
         stamped = msgspec.structs.replace(command, at_s=wall_s())
-        answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self._queue.append(_PendingCommand(stamped, answer, monotonic_s()))
+        result_future: asyncio.Future[SubmitResult] = asyncio.get_running_loop().create_future()
+        self._queue.append(_PendingCommand(stamped, result_future, monotonic_s()))
         self._wake.set()
-        return await answer
+        return await result_future
 
     async def run(self) -> None:
         """Run until `stop` is called.
 
         Raises:
-            InvariantError: An invariant is broken; the process must end.
+            InvariantError: An invariant is violated; the process must exit.
         """
         ticker = asyncio.create_task(self._tick())
         try:
@@ -170,16 +170,18 @@
             raise
         finally:
             ticker.cancel()
-            self._fail_waiting()
+            self._fail_pending()
             self._executor.shutdown(wait=True)
 
     async def _tick(self) -> None:
         while True:
-            slept_s = monotonic_s()
+            slept_at_s = monotonic_s()
             await asyncio.sleep(self._tick_s)
             now_s = monotonic_s()
-            if now_s - slept_s > self._tick_s + STALL_S:
-                log_event(Event.MEMBER_STALLED, seconds=round(now_s - slept_s, 2), role=self._role)
+            if now_s - slept_at_s > self._tick_s + STALL_THRESHOLD_S:
+                log_event(
+                    Event.MEMBER_STALLED, seconds=round(now_s - slept_at_s, 2), role=self._role
+                )
             self.node.tick(now_s)
             self._wake.set()
 
@@ -187,10 +189,10 @@
         while True:
             self._propose_queued()
             ready = self.node.take_ready()
-            self._notice_role()
+            self._detect_role_change()
             if ready.is_empty:
                 return
-            await self._carry_out(ready)
+            await self._execute(ready)
 
     def _propose_queued(self) -> None:
         if not self._queue:
@@ -201,11 +203,11 @@
         index = self.node.propose(monotonic_s(), data)
         if index is None:
             for pending in batch:
-                _resolve(pending, NotLeader(self.leader_address()))
+                _resolve_command(pending, NotLeader(self.leader_address()))
             return
         self._proposed[index] = _ProposedBatch(self.node.term, batch)
 
-    async def _carry_out(self, ready: Ready) -> None:
+    async def _execute(self, ready: Ready) -> None:
         self._send(ready.messages)
         if ready.needs_sync:
             await self._save(ready)
@@ -217,32 +219,34 @@
             self._restore(ready.snapshot)
         for entry in ready.committed:
             self._apply(entry)
-        if self._is_to_announce:
-            self._is_to_announce = False
+        if self._must_announce_commit:
+            self._must_announce_commit = False
             self.node.announce_commit(monotonic_s())
         await self._compact_if_large()
 
     async def _save(self, ready: Ready) -> None:
-        """Make effects durable; a disk that refuses is asked again until it takes them.
+        """Make changes durable; retry failed writes until one succeeds.
 
-        Nothing else goes out meanwhile, so a leader whose disk hangs or refuses loses its lease
-        and the others elect another one.
+        No other messages are sent meanwhile, so a leader whose disk hangs or fails loses its lease
+        and the other members elect a new leader.
         """
         loop = asyncio.get_running_loop()
         while True:
             saving = loop.run_in_executor(self._executor, self._journal.save, ready)
-            _, unfinished = await asyncio.wait([saving], timeout=SLOW_SAVE_S)
+            _, unfinished = await asyncio.wait([saving], timeout=SLOW_SAVE_THRESHOLD_S)
             if unfinished:
-                log_event(Event.STORAGE_SLOW, seconds=SLOW_SAVE_S, applied=self.applied_index)
+                log_event(
+                    Event.STORAGE_SLOW, seconds=SLOW_SAVE_THRESHOLD_S, applied=self.applied_index
+                )
             try:
                 await saving
                 return
             except OSError as error:
                 log_event(Event.STORAGE_FAILED, error=error)
-                await asyncio.sleep(SAVE_RETRY_S)
+                await asyncio.sleep(SAVE_RETRY_INTERVAL_S)
 
     def _restore(self, snapshot: Snapshot) -> None:
-        require(snapshot.index > self.applied_index, "the applied state never goes back")
+        require(snapshot.index > self.applied_index, "the applied index never decreases")
         self.machine.restore(snapshot.data)
         self.applied_index = snapshot.index
         self._applied_term = snapshot.term
@@ -259,7 +263,7 @@
             names = ",".join(member.name for member in self._applied_membership.members)
             log_event(Event.MEMBERS_CHANGED, index=entry.index, members=names)
         results = self._apply_commands(entry)
-        self._answer_batch(entry, results)
+        self._resolve_batch(entry, results)
 
     def _apply_commands(self, entry: LogEntry) -> list[CommandResult]:
         if entry.kind is not EntryKind.COMMAND:
@@ -269,42 +273,43 @@
             result = self.machine.apply(command)
             results.append(result)
             self._on_applied(command, result)
-            # Followers apply with the leader's next message, and gateways send on until these have.
-            self._is_to_announce = self._is_to_announce or ends_sending(command)
+            # Followers apply this with the leader's next message, and gateways keep sending
+            # requests until the followers have applied it.
+            self._must_announce_commit = self._must_announce_commit or ends_sending(command)
         COMMITS.inc(len(results))
         return results
 
-    def _answer_batch(self, entry: LogEntry, results: list[CommandResult]) -> None:
+    def _resolve_batch(self, entry: LogEntry, results: list[CommandResult]) -> None:
         batch = self._proposed.pop(entry.index, None)
         if batch is None:
             return
         if batch.term != entry.term:
-            # Another leader's entry took the place, so this batch was never committed.
+            # Another leader's entry has this index, so the batch was never committed.
             for pending in batch.commands:
-                _resolve(pending, NotLeader(self.leader_address()))
+                _resolve_command(pending, NotLeader(self.leader_address()))
             return
         now_s = monotonic_s()
         for pending, result in zip(batch.commands, results, strict=True):
-            COMMIT_S.observe(now_s - pending.proposed_s)
-            _resolve(pending, Submitted(result))
+            COMMIT_S.observe(now_s - pending.submitted_at_s)
+            _resolve_command(pending, Submitted(result))
 
-    def _notice_role(self) -> None:
+    def _detect_role_change(self) -> None:
         role = self.node.role
         if role is self._role:
             return
         self._role = role
         log_event(Event.ROLE_CHANGED, role=role, term=self.node.term)
         if role is not Role.LEADER:
-            self._fail_waiting()
+            self._fail_pending()
         self._on_role(role)
 
-    def _fail_waiting(self) -> None:
+    def _fail_pending(self) -> None:
         for batch in self._proposed.values():
             for pending in batch.commands:
-                _resolve(pending, Undecided())
+                _resolve_command(pending, Undecided())
         self._proposed.clear()
         for pending in self._queue:
-            _resolve(pending, NotLeader(self.leader_address()))
+            _resolve_command(pending, NotLeader(self.leader_address()))
         self._queue.clear()
 
     async def _compact_if_large(self) -> None:
@@ -313,12 +318,12 @@
         snapshot = self.snapshot()
         first = snapshot.index + 1
         log = self.node.log
-        # Only entries that are durable already may be written behind the snapshot as durable.
+        # Only entries that are already durable may be written after the snapshot as durable.
         remaining = log.slice(first, min(log.last_index, self.node.synced_index))
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self._executor, self._journal.save_snapshot, snapshot, remaining)
-        # Followers that lag a little are still fed from memory.
-        self.node.compact(max(snapshot.index - SNAPSHOT_KEPT_ENTRIES, 0))
+        # Keep recent entries in memory for followers that lag slightly.
+        self.node.compact(max(snapshot.index - SNAPSHOT_RETAINED_ENTRIES, 0))
         log_event(Event.SNAPSHOT_TAKEN, index=snapshot.index, bytes=len(snapshot.data))
 
     def snapshot(self) -> Snapshot:
@@ -327,13 +332,13 @@
         return Snapshot(self.applied_index, self._applied_term, self._applied_membership, data)
 
     def propose_membership(self, membership: Membership) -> bool:
-        """Propose a membership; return whether it could be proposed now."""
+        """Propose a membership; return whether it could be proposed."""
         index = self.node.propose_membership(monotonic_s(), membership)
         self._wake.set()
         return index is not None
 
     async def hand_over_leadership(self, timeout_s: float) -> None:
-        """Give leadership to another member before a planned stop."""
+        """Transfer leadership to another member before a planned stop."""
         deadline_s = monotonic_s() + timeout_s
         self.node.transfer_leadership(monotonic_s())
         self._wake.set()
@@ -346,6 +351,6 @@
         self._wake.set()
 
 
-def _resolve(pending: _PendingCommand, answer: Answer) -> None:
-    if not pending.answer.done():
-        pending.answer.set_result(answer)
+def _resolve_command(pending: _PendingCommand, result: SubmitResult) -> None:
+    if not pending.result_future.done():
+        pending.result_future.set_result(result)
--- a/src/crowsill/control/operations.py
+++ b/src/crowsill/control/operations.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a control member; any member answers or passes it on."""
+"""Operators' requests at a control member; a follower forwards them to the leader."""
 
 from collections.abc import Mapping
 
@@ -34,7 +34,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """One control member in the status."""
+    """One control member in the status response."""
 
     member_id: str
     name: str
@@ -44,7 +44,7 @@
 
 
 class EntryLine(msgspec.Struct, frozen=True):
-    """One entry in the status."""
+    """One entry process in the status response."""
 
     node: str
     zone: str
@@ -53,7 +53,7 @@
 
 
 class ReplicaLine(msgspec.Struct, frozen=True):
-    """One back end in the status."""
+    """One back end in the status response."""
 
     replica_id: str
     kind: str
@@ -65,21 +65,21 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """The answer to `GET /v1/status`.
+    """The response to `GET /v1/status`.
 
     Attributes:
-        node: The member that answered.
+        node: Name of the member that responded.
         role: Its role.
         term: Its term.
-        revision: Revision it has applied.
-        confirmed: Whether a leader's lease vouches for the revision.
+        revision: Configuration revision that it has applied.
+        confirmed: Whether a leader's lease confirms the revision.
         members: Control members.
-        entries: Live entries, as far as this member knows.
+        entries: Live entries known to this member.
         replicas: Back ends.
-        orders: Orders to engines that are not settled.
-        claims: Claims kept.
+        orders: Number of orders to engines that are not settled.
+        claims: Number of stored claims.
         state_digest: Hash of the replicated state at `applied_index`.
-        applied_index: Last applied log entry.
+        applied_index: Index of the last applied log entry.
     """
 
     node: str
@@ -97,17 +97,17 @@
 
 
 class QuarantineLine(msgspec.Struct, frozen=True):
-    """One request under which replicas ended.
+    """One request during which replicas crashed.
 
     Attributes:
-        fingerprint: What it has in common with other sendings of it, as hex.
-        held_back: Whether gateways send it to no replica.
-        replicas: The lives of replicas that ended while they ran it.
-        first_s: Wall clock of the first end.
-        last_s: Wall clock of the last end.
+        fingerprint: Fingerprint shared by identical requests, as hex.
+        held_back: Whether gateways keep it from all replicas.
+        replicas: Ids of the instances that crashed while they ran it.
+        first_s: Wall-clock time of the first crash, in seconds.
+        last_s: Wall-clock time of the last crash, in seconds.
         service: Its service.
         place: Its host and path.
-        request_id: The caller's id of the sending under which a replica ended last.
+        request_id: The caller's id of the request during which a replica crashed last.
     """
 
     fingerprint: str
@@ -124,25 +124,25 @@
     """The body of `POST /v1/quarantine/lift`.
 
     Attributes:
-        fingerprint: The request that is to be sent to replicas again, as hex.
+        fingerprint: The request that may be sent to replicas again, as hex.
     """
 
     fingerprint: str
 
 
-class LiftAnswer(msgspec.Struct, frozen=True):
-    """Whether anything was known of the request; lifted twice, it is not."""
+class LiftResponse(msgspec.Struct, frozen=True):
+    """Whether the request had recorded crashes; False when it is lifted a second time."""
 
     lifted: bool
 
 
-class PlanAnswer(msgspec.Struct, frozen=True):
-    """The answer to `POST /v1/plan`.
+class PlanResponse(msgspec.Struct, frozen=True):
+    """The response to `POST /v1/plan`.
 
     Attributes:
-        revision: Revision the plan is based on.
-        differences: One line a difference.
-        faults: Why it would be refused; empty when it would be accepted.
+        revision: Revision that the plan is based on.
+        differences: One line for each difference.
+        faults: Why the change would be rejected; empty if it would be accepted.
     """
 
     revision: int
@@ -151,7 +151,7 @@
 
 
 class OperatorService:
-    """Operators' requests at one member."""
+    """Handles operators' requests at one member."""
 
     def __init__(
         self, settings: Settings, service: MemberService, machine: StateMachine, fleet: FleetView
@@ -173,9 +173,9 @@
     async def submit(self, change: ConfigurationChange) -> Result[ConfigurationResult, Problem]:
         """Submit a change, here or through the leader."""
         command = SubmitCommand(ChangeConfiguration(change, 0.0))
-        reply = await self._ask_leader(command)
+        reply = await self._query_leader(command)
         if not isinstance(reply, Submitted) or not isinstance(reply.result, ConfigurationResult):
-            detail = "no leader answered; the change may or may not be accepted: send it again"
+            detail = "no leader responded; the change may or may not be accepted: send it again"
             return Failure(Problem(ErrorKind.NO_LEADER, detail))
         result = reply.result
         if result.decision is ConfigurationDecision.CONFLICT:
@@ -184,7 +184,7 @@
             return Failure(Problem(ErrorKind.CONFIGURATION_INVALID, result.detail))
         return Success(result)
 
-    async def _ask_leader(self, request: SubmitCommand | MembersRequest) -> Body | None:
+    async def _query_leader(self, request: SubmitCommand | MembersRequest) -> Body | None:
         driver, stream = self._service.driver, self._service.leader_stream
         if driver is not None and driver.is_leader:
             return await self._service.handle_as_leader(request, driver)
@@ -196,16 +196,16 @@
             return None
 
     async def members(self, request: MembersRequest) -> Result[MembersReport, Problem]:
-        """Look at or change the group, here or through the leader."""
-        reply = await self._ask_leader(request)
+        """Read or change the group, here or through the leader."""
+        reply = await self._query_leader(request)
         if not isinstance(reply, MembersReport):
-            return Failure(Problem(ErrorKind.NO_LEADER, "no leader answered; ask again"))
+            return Failure(Problem(ErrorKind.NO_LEADER, "no leader responded; try again"))
         if reply.refusal:
             return Failure(Problem(ErrorKind.INVALID_REQUEST, reply.refusal))
         return Success(reply)
 
     def quarantine(self) -> list[QuarantineLine]:
-        """Requests under which replicas ended, as this member knows; those held back first."""
+        """Requests during which replicas crashed, as known here; quarantined ones first."""
         suspects = self._machine.crashes.suspects
         suspects.sort(key=lambda suspect: (not suspect.is_quarantined, suspect.last_s))
         return [
@@ -223,7 +223,7 @@
         ]
 
     def registered_replicas(self) -> Result[list[RegisteredReplicaLine], Problem]:
-        """Registered replicas, and which gateways send them nothing; the leader hears of all."""
+        """Registered replicas, and the gateways that exclude them; only the leader knows all."""
         driver = self._service.driver
         if driver is None or not driver.is_leader:
             return Failure(Problem(ErrorKind.NO_LEADER, "this member does not lead"))
@@ -231,28 +231,28 @@
         limits = self._service.reports.replica_grants.limits
         return Success(overview(self._machine.directory, entries, limits))
 
-    async def lift(self, request: LiftRequest) -> Result[LiftAnswer, Problem]:
-        """Forget the ends counted against one request, here or through the leader."""
+    async def lift(self, request: LiftRequest) -> Result[LiftResponse, Problem]:
+        """Clear the crashes recorded for one request, here or through the leader."""
         try:
             fingerprint = bytes.fromhex(request.fingerprint)
         except ValueError:
             return Failure(Problem(ErrorKind.INVALID_REQUEST, "the fingerprint is not hex"))
-        reply = await self._ask_leader(SubmitCommand(ClearSuspects([fingerprint], "lifted")))
+        reply = await self._query_leader(SubmitCommand(ClearSuspects([fingerprint], "lifted")))
         if not isinstance(reply, Submitted) or not isinstance(reply.result, Acknowledged):
-            detail = "no leader answered; it may or may not be lifted: send it again"
+            detail = "no leader responded; it may or may not be lifted: send it again"
             return Failure(Problem(ErrorKind.NO_LEADER, detail))
-        return Success(LiftAnswer(reply.result.accepted))
+        return Success(LiftResponse(reply.result.accepted))
 
-    def plan(self, content: ConfigurationContent) -> PlanAnswer:
-        """Compare a change with the configuration applied here."""
+    def plan(self, content: ConfigurationContent) -> PlanResponse:
+        """Compare a change with the configuration that is applied at this member."""
         current = self.configuration
         candidate = current.with_content(content, current.revision + 1)
         differences = _differences("template", current.templates, candidate.templates)
         differences += _differences("tenant", current.parameters, candidate.parameters)
-        return PlanAnswer(current.revision, differences, configuration_faults(candidate))
+        return PlanResponse(current.revision, differences, configuration_faults(candidate))
 
     async def status(self) -> Status:
-        """Describe the system as this member sees it."""
+        """Describe the system as seen by this member."""
         driver = self._service.driver
         await self._service.refresh_from_leader()
         revision = self.configuration.revision
@@ -309,21 +309,21 @@
 
 
 def _differences(
-    word: str, before: Mapping[str, msgspec.Struct], after: Mapping[str, msgspec.Struct]
+    label: str, before: Mapping[str, msgspec.Struct], after: Mapping[str, msgspec.Struct]
 ) -> list[str]:
     lines: list[str] = []
     for name in sorted(before.keys() | after.keys()):
         if name not in before:
-            lines.append(f"+ {word} {name}")
+            lines.append(f"+ {label} {name}")
         elif name not in after:
-            lines.append(f"- {word} {name}")
+            lines.append(f"- {label} {name}")
         elif before[name] != after[name]:
-            lines.extend(_changed_fields(word, name, before[name], after[name]))
+            lines.extend(_changed_fields(label, name, before[name], after[name]))
     return lines
 
 
 def _changed_fields(
-    word: str, name: str, before: msgspec.Struct, after: msgspec.Struct
+    label: str, name: str, before: msgspec.Struct, after: msgspec.Struct
 ) -> list[str]:
     lines: list[str] = []
     for field in before.__struct_fields__:
@@ -331,5 +331,5 @@
         if old != new:
             shown_old = msgspec.json.encode(old).decode()
             shown_new = msgspec.json.encode(new).decode()
-            lines.append(f"~ {word} {name}.{field}: {shown_old} -> {shown_new}")
+            lines.append(f"~ {label} {name}.{field}: {shown_old} -> {shown_new}")
     return lines
