--- a/src/crowsill/control/fleet_observer.py
+++ b/src/crowsill/control/fleet_observer.py
@@ -1,7 +1,7 @@
-"""The leader's view of the back ends: the platform's list and their own reports, merged.
+"""The leader's view of the back ends, merged from the platform's list and their own reports.
 
-Three signals say that a back end is leaving, and each may lag: the list, its own report, and its
-refusals of calls (which entries notice themselves). Leaving is sticky for one incarnation.
+Three signals show that a back end drains, and each may lag: the list, its own report, and its
+rejection of calls (which entries detect themselves). Draining is permanent for one incarnation.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
     ReplicaState,
 )
 
-FAILURES_TO_UNREACHABLE = 3
-LOAD_THRESHOLD = 0.25
+UNREACHABLE_AFTER_FAILURES = 3
+LOAD_CHANGE_THRESHOLD = 0.25
 MAX_LOAD_UPDATES = 50
 MAX_POLLS_PER_S = 300.0
 
 
-def _same_but_load(old: ReplicaState | None, new: ReplicaState) -> bool:
+def _is_equal_except_load(old: ReplicaState | None, new: ReplicaState) -> bool:
     if old is None:
         return False
     report = msgspec.structs.replace(
@@ -39,29 +39,29 @@
     return old == msgspec.structs.replace(new, report=report)
 
 
-class _Observed:
+class _ObservedReplica:
     """One back end under observation."""
 
     def __init__(self, description: ReplicaDescription) -> None:
         self.description = description
         self.report: ReplicaReport | None = None
         self.failures = 0
-        self.leaving_incarnation: str | None = None
+        self.draining_incarnation: str | None = None
 
     def state(self, number: int) -> ReplicaState | None:
         """The merged state, or None before the first report."""
         if self.report is None:
             return None
         if self.report.leaving or self.description.leaving:
-            self.leaving_incarnation = self.report.incarnation
-        leaving = self.leaving_incarnation == self.report.incarnation
+            self.draining_incarnation = self.report.incarnation
+        leaving = self.draining_incarnation == self.report.incarnation
         report = msgspec.structs.replace(self.report, leaving=leaving)
-        reachable = self.failures < FAILURES_TO_UNREACHABLE
+        reachable = self.failures < UNREACHABLE_AFTER_FAILURES
         return ReplicaState(self.description, report, reachable, number)
 
 
 class FleetObserver:
-    """Polls while this member leads, and publishes steps of the fleet view."""
+    """Polls back ends while this member leads, and publishes deltas of the fleet view."""
 
     def __init__(
         self,
@@ -75,52 +75,54 @@
         Args:
             platform: The platform's list.
             engines: Reports of back ends.
-            view: The fleet view of this process; steps are applied to it.
-            publish: Receives each step.
+            view: The fleet view of this process; deltas are applied to it.
+            publish: Receives each delta.
         """
         self._platform = platform
         self._engines = engines
         self._view = view
         self._publish = publish
-        self._observed: dict[str, _Observed] = {}
+        self._observed: dict[str, _ObservedReplica] = {}
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._random = Random()
-        self._numbers: dict[str, int] = {}
-        self._told_loads: dict[int, int] = {}
+        self._replica_numbers: dict[str, int] = {}
+        self._published_loads: dict[int, int] = {}
 
     async def run(self, epoch: int) -> None:
         """Observe until cancelled.
 
         Args:
-            epoch: Term of this leadership; the first step starts the view over.
+            epoch: Leadership term; the first delta of a term replaces the whole view.
         """
         first = True
         platform_task = asyncio.create_task(self._poll_platform())
         try:
             while True:
                 await asyncio.sleep(FLEET_PUSH_S)
-                if self._all_known():
-                    self._publish_step(epoch, full=first)
+                if self._all_polled():
+                    self._publish_delta(epoch, full=first)
                     first = False
         finally:
             platform_task.cancel()
             for poller in self._pollers.values():
                 poller.cancel()
 
-    def _all_known(self) -> bool:
-        """Whether every listed back end has reported or has failed to."""
+    def _all_polled(self) -> bool:
+        """Whether every listed back end has reported or failed to report."""
         if not self._observed:
             return False
         return all(item.report is not None or item.failures for item in self._observed.values())
 
-    def _publish_step(self, epoch: int, full: bool) -> None:
+    def _publish_delta(self, epoch: int, full: bool) -> None:
         if full:
-            self._numbers = {}
-            self._told_loads = {}
+            self._replica_numbers = {}
+            self._published_loads = {}
         states = self._states()
         known = {} if full else self._view.replicas
         changed = [
-            state for name, state in states.items() if not _same_but_load(known.get(name), state)
+            state
+            for name, state in states.items()
+            if not _is_equal_except_load(known.get(name), state)
         ]
         removed = [name for name in known if name not in states]
         loads = self._load_updates(states, {state.number for state in changed})
@@ -135,33 +137,33 @@
     def _states(self) -> dict[str, ReplicaState]:
         states: dict[str, ReplicaState] = {}
         for replica_id, observed in self._observed.items():
-            number = self._numbers.setdefault(replica_id, len(self._numbers) + 1)
+            number = self._replica_numbers.setdefault(replica_id, len(self._replica_numbers) + 1)
             state = observed.state(number)
             if state is not None:
                 states[replica_id] = state
         return states
 
     def _load_updates(
-        self, states: dict[str, ReplicaState], told_whole: set[int]
+        self, states: dict[str, ReplicaState], published_in_full: set[int]
     ) -> list[LoadUpdate]:
-        """Loads that differ enough from what was told last.
+        """Return loads that differ enough from those published last.
 
-        Entries correct loads by their own requests, so small differences are not worth a message.
+        Entries adjust loads by their own requests, so small differences aren't published.
         """
-        moved: list[tuple[int, LoadUpdate]] = []
+        differing: list[tuple[int, LoadUpdate]] = []
         for state in states.values():
             in_flight = state.report.running + state.report.waiting
-            told = self._told_loads.get(state.number, 0)
-            difference = abs(in_flight - told)
-            if state.number in told_whole:
-                self._told_loads[state.number] = in_flight
-            elif difference >= max(1, LOAD_THRESHOLD * told):
-                moved.append((difference, LoadUpdate(state.number, in_flight)))
-        # The largest moves first, and no more than an entry's share of bytes allows.
-        moved.sort(key=lambda item: -item[0])
-        updates = [update for _, update in moved[:MAX_LOAD_UPDATES]]
+            published = self._published_loads.get(state.number, 0)
+            difference = abs(in_flight - published)
+            if state.number in published_in_full:
+                self._published_loads[state.number] = in_flight
+            elif difference >= max(1, LOAD_CHANGE_THRESHOLD * published):
+                differing.append((difference, LoadUpdate(state.number, in_flight)))
+        # The largest differences first, limited by an entry's share of bandwidth.
+        differing.sort(key=lambda item: -item[0])
+        updates = [update for _, update in differing[:MAX_LOAD_UPDATES]]
         for update in updates:
-            self._told_loads[update.number] = update.in_flight
+            self._published_loads[update.number] = update.in_flight
         return updates
 
     def _log_changes(self, changed: list[ReplicaState], removed: list[str]) -> None:
@@ -181,10 +183,10 @@
         while True:
             listed = await self._platform.machines()
             if isinstance(listed, Success):
-                self._take_list(listed.unwrap())
+                self._update_listed(listed.unwrap())
             await asyncio.sleep(PLATFORM_POLL_S)
 
-    def _take_list(self, machines: list[ReplicaDescription]) -> None:
+    def _update_listed(self, machines: list[ReplicaDescription]) -> None:
         listed = {machine.replica_id: machine for machine in machines}
         for replica_id in set(self._observed) - set(listed):
             del self._observed[replica_id]
@@ -194,11 +196,11 @@
             if observed is not None:
                 observed.description = machine
                 continue
-            self._observed[replica_id] = observed = _Observed(machine)
+            self._observed[replica_id] = observed = _ObservedReplica(machine)
             self._pollers[replica_id] = asyncio.create_task(self._poll_report(observed))
 
-    async def _poll_report(self, observed: _Observed) -> None:
-        # Polls are spread over the period: in lockstep they would time out in one another's queue.
+    async def _poll_report(self, observed: _ObservedReplica) -> None:
+        # Polls are spread over the period: simultaneous polls would queue and time out.
         await asyncio.sleep(self._random.uniform(0.0, self._period_s()))
         while True:
             reported = await self._engines.report(observed.description)
@@ -210,5 +212,5 @@
             await asyncio.sleep(self._period_s())
 
     def _period_s(self) -> float:
-        """Time between two polls of one back end: longer for a large fleet, to bound the cost."""
+        """Interval of the polls of one back end; longer for a large fleet, to bound the cost."""
         return max(ENGINE_POLL_S, len(self._observed) / MAX_POLLS_PER_S)
--- a/src/crowsill/control/publisher.py
+++ b/src/crowsill/control/publisher.py
@@ -1,4 +1,4 @@
-"""What a control member tells its followers, and its log, of each command that it applies."""
+"""Pushes the effect of each applied command to a member's followers, and logs it."""
 
 import asyncio
 
@@ -27,15 +27,15 @@
 
 
 class ChangePublisher:
-    """Pushes changes to the entries and gateways that follow one member."""
+    """Publishes changes to the entries and gateways that follow one member."""
 
     def __init__(self, machine: StateMachine, subscribers: Subscribers) -> None:
         self._machine = machine
         self._subscribers = subscribers
-        self._routes_are_due = False
+        self._is_routes_push_scheduled = False
 
     def on_applied(self, command: Command, result: CommandResult) -> None:
-        """Publish what a command that was applied has changed."""
+        """Publish the effect of an applied command."""
         if isinstance(result, Acknowledged) and result.accepted:
             self._publish_change(command)
         if not isinstance(command, ChangeConfiguration):
@@ -56,7 +56,7 @@
         self._subscribers.push_configuration(ConfigurationDelta(result.revision, change.content))
 
     def _publish_change(self, command: Command) -> None:
-        """Tell gateways what a command changed for them."""
+        """Push a command's change to gateways."""
         if isinstance(command, RecordCrash | ClearSuspects):
             self._publish_suspects(command)
             return
@@ -67,7 +67,7 @@
                 size = len(command.document.content)
                 log_event(Event.ROUTES_PUBLISHED, version=version, bytes=size)
                 ROUTES_VERSION.set(version)
-                self._push_routes_soon()
+                self._schedule_routes_push()
             case RecordBeat():
                 instance = command.beat.instance
                 log_event(
@@ -101,7 +101,7 @@
             self._subscribers.push_directory(directory.last_change)
 
     def _publish_suspects(self, command: RecordCrash | ClearSuspects) -> None:
-        """Tell gateways under which requests replicas have ended."""
+        """Push to gateways the requests during which replicas crashed."""
         record = self._machine.crashes
         change = record.last_change
         if change is None:
@@ -109,15 +109,15 @@
         QUARANTINED.set(sum(suspect.is_quarantined for suspect in record.suspects))
         cleared = [item.fingerprint.hex() for item in change.changed if not item.ends]
         if cleared:
-            why = command.why if isinstance(command, ClearSuspects) else "explained by others"
-            log_event(Event.SUSPECTS_CLEARED, requests=",".join(cleared), why=why)
+            reason = command.why if isinstance(command, ClearSuspects) else "explained by others"
+            log_event(Event.SUSPECTS_CLEARED, requests=",".join(cleared), why=reason)
         if isinstance(command, RecordCrash):
             log_event(Event.CRASH_RECORDED, replica=command.life, requests=len(command.requests))
             self._log_quarantined(command)
         self._subscribers.push_suspects(change)
 
     def _log_quarantined(self, command: RecordCrash) -> None:
-        """Name each request that this end of a replica has put into quarantine."""
+        """Log each request that this crash has put into quarantine."""
         for request in command.requests:
             suspect = self._machine.crashes.find(request.fingerprint)
             if suspect is None or len(suspect.counted_ends) != CRASH_LIMIT:
@@ -131,16 +131,16 @@
                 replicas=",".join(suspect.ends),
             )
 
-    def _push_routes_soon(self) -> None:
-        """Send the routes once for all versions that are applied in one go.
+    def _schedule_routes_push(self) -> None:
+        """Send the routes once for all versions that are applied in one event loop pass.
 
-        A member that starts again applies hundreds of them; gateways need the newest only.
+        A restarted member applies hundreds of versions; gateways need only the newest.
         """
-        if self._routes_are_due:
+        if self._is_routes_push_scheduled:
             return
-        self._routes_are_due = True
+        self._is_routes_push_scheduled = True
         asyncio.get_running_loop().call_soon(self._push_routes)
 
     def _push_routes(self) -> None:
-        self._routes_are_due = False
+        self._is_routes_push_scheduled = False
         self._subscribers.push_routes()
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -1,7 +1,7 @@
-"""A control process without a disk: it stores nothing, never votes, and points callers at members.
+"""A control process without a data folder: it stores nothing, never votes, and redirects callers.
 
-It runs where an operator starts the control role on machines of which only some have a disk.
-Callers get `307` to the leader; processes that ask it for the leader are told where that is.
+It runs where the control role is started on machines of which only some have a disk. Callers get
+`307` to the leader; other crowsill processes get the leader's address.
 """
 
 import asyncio
@@ -29,73 +29,73 @@
 from crowsill.transport.question import ask_leader
 from crowsill.transport.stream import LocalIdentity
 
-# While no leader is known it is looked for this often; a start takes about a second.
-SEARCH_S = 0.2
-# A known leader is asked again this often. Any member passes calls on, so that an old answer costs
-# a caller one more step at most.
-REFRESH_S = 2.0
+# Interval of the search while no leader is known; a start takes about a second.
+SEARCH_INTERVAL_S = 0.2
+# Interval at which a known leader is queried again. Any member forwards requests, so an outdated
+# address costs a caller at most one more step.
+REFRESH_INTERVAL_S = 2.0
 REPLY_TIMEOUT_S = 0.8
 
 
 class LeaderLocator:
-    """Knows where the leader is.
+    """Tracks the address of the leader.
 
     Attributes:
-        contacts: Whom it asks.
+        contacts: Addresses that it queries.
         leader: Address of the leader for other crowsill processes, or None.
     """
 
     def __init__(self, local: LocalIdentity, own: Address, contacts: GroupContacts) -> None:
-        """Make a pointer that knows nothing yet.
+        """Make a locator that knows no leader yet.
 
         Args:
             local: Identity for the handshake.
-            own: Where this process can be told later.
-            contacts: Whom to ask.
+            own: Address at which this process receives referrals.
+            contacts: Addresses to query.
         """
         self.contacts = contacts
         self.leader: Address | None = None
         self._local = local
         self._own = own
-        self._told = asyncio.Event()
+        self._referral_received = asyncio.Event()
 
     async def run(self) -> None:
-        """Look for the leader until cancelled."""
+        """Search for the leader until cancelled."""
         while True:
             known = self.leader
             self.leader = await self._find()
             if self.leader is None:
                 self.contacts.missed(monotonic_s())
-                await self._pause(SEARCH_S)
+                await self._wait_for_referral(SEARCH_INTERVAL_S)
                 continue
             self.contacts.found()
             if self.leader != known:
                 log_event(Event.LEADER_FOUND, leader=format_address(self.leader))
-            # A new leader tells at once that it leads, so that callers are not sent to the last
-            # one until the next question.
-            await self._pause(REFRESH_S)
+            # A new leader announces itself at once, so callers aren't redirected to the former
+            # leader until the next query.
+            await self._wait_for_referral(REFRESH_INTERVAL_S)
 
-    async def _pause(self, pause_s: float) -> None:
-        """Wait, or until a leader says where the group is."""
+    async def _wait_for_referral(self, pause_s: float) -> None:
+        """Wait for a referral from a leader, at most `pause_s`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause_s):
-                await self._told.wait()
-        self._told.clear()
+                await self._referral_received.wait()
+        self._referral_received.clear()
 
-    def told(self) -> None:
-        """A leader has said where the group is."""
-        self._told.set()
+    def note_referral(self) -> None:
+        """Record that a leader sent the group's addresses."""
+        self._referral_received.set()
 
     async def _find(self) -> Address | None:
         first = [] if self.leader is None else [self.leader]
         for target in dict.fromkeys([*first, *self.contacts.targets()]):
-            found = await self._ask(target)
+            found = await self._query(target)
             if found is not None:
                 return found
         return None
 
-    async def _ask(self, target: Address) -> Address | None:
-        """Ask one process, and the one it names; return the leader's address."""
+    async def _query(self, target: Address) -> Address | None:
+        """Query one process and the one that it refers to; return the leader's address."""
         question = FindGroup(format_address(self._own))
         leader, reply = await ask_leader(target, question, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
@@ -109,21 +109,21 @@
 class RedirectResource:
     """Every path: `307` to the leader, or `503` while none is known."""
 
-    def __init__(self, pointer: LeaderLocator, port: int) -> None:
+    def __init__(self, locator: LeaderLocator, port: int) -> None:
         """Make the resource.
 
         Args:
-            pointer: Knows the leader.
+            locator: Tracks the leader.
             port: Port of the same interface at every member.
         """
-        self._pointer = pointer
+        self._locator = locator
         self._port = port
 
     async def __call__(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, **_params: str
     ) -> None:
-        """Answer a call."""
-        leader = self._pointer.leader
+        """Redirect a request."""
+        leader = self._locator.leader
         if leader is None:
             problem = Problem(ErrorKind.NO_LEADER, "no leader of the control group is known")
             answer_problem(response, problem, request_id_of(request))
@@ -132,10 +132,10 @@
         response.location = f"http://{leader.host}:{self._port}{request.relative_uri}"
 
 
-def redirect_application(pointer: LeaderLocator, port: int) -> Any:  # noqa: ANN401
+def redirect_application(locator: LeaderLocator, port: int) -> Any:  # noqa: ANN401
     """Make the ASGI application; `port` is that of the same interface at every member."""
     application = new_application()
-    application.add_sink(RedirectResource(pointer, port), "/")
+    application.add_sink(RedirectResource(locator, port), "/")
     return application
 
 
@@ -146,13 +146,13 @@
         """Wire the process.
 
         Args:
-            control: Its control table.
+            control: Its control settings.
             local: Its identity.
-            random: Source of the order in which members are asked.
+            random: Randomizes the order in which members are queried.
         """
         self._control = control
         contacts = GroupContacts(control.seeds, random)
-        self._pointer = LeaderLocator(local, control.listen, contacts)
+        self._locator = LeaderLocator(local, control.listen, contacts)
         self._inner = ConnectionServer(
             local, self._on_request, lambda *_push: None, lambda _connection: None
         )
@@ -160,46 +160,46 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Open the listeners and look for the leader."""
+        """Open the listeners and start the search for the leader."""
         listen = self._control.listen
         await self._inner.start(listen.host, listen.port)
         for listener in (self._control.registrations, self._control.operators):
             if listener is not None:
                 await self._listen(listener)
-        self._task = asyncio.create_task(self._pointer.run())
+        self._task = asyncio.create_task(self._locator.run())
 
     async def _listen(self, listener: HttpListener) -> None:
-        server = HttpServer(redirect_application(self._pointer, listener.port), listener)
+        server = HttpServer(redirect_application(self._locator, listener.port), listener)
         await server.start()
         self._listeners.append(server)
 
     def use_seeds(self, control: ControlSettings) -> None:
-        """Take over seeds that have changed."""
-        self._pointer.contacts.seeds = control.seeds
+        """Adopt changed seeds."""
+        self._locator.contacts.seeds = control.seeds
 
     async def _on_request(self, connection: Connection, body: Body) -> Body:
         if isinstance(body, BlankCheck):
             return MemberBlank(identity="", is_blank=True, may_vote=False)
-        pointer = self._pointer
+        locator = self._locator
         if isinstance(body, GroupReferral):
-            taken = accept_referral(pointer.contacts, connection, body)
-            pointer.told()
-            return taken
-        leader = None if pointer.leader is None else format_address(pointer.leader)
-        return NotLeader(leader, [format_address(item) for item in pointer.contacts.known()])
+            acknowledgement = accept_referral(locator.contacts, connection, body)
+            locator.note_referral()
+            return acknowledgement
+        leader = None if locator.leader is None else format_address(locator.leader)
+        return NotLeader(leader, [format_address(item) for item in locator.contacts.known()])
 
     async def drain(self) -> None:
-        """Nothing is to be handed over."""
+        """Do nothing: this process has no state to hand over."""
 
     async def failed(self) -> BaseException | None:
-        """Wait until the search for the leader ends by itself; return why."""
+        """Wait until the search for the leader stops by itself; return the error."""
         if self._task is None:
             return None
         await asyncio.wait([self._task])
         return None if self._task.cancelled() else self._task.exception()
 
     async def stop(self) -> None:
-        """Release everything."""
+        """Stop the search and close the listeners."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -210,7 +210,7 @@
 
 def make_redirector(settings: Settings, control: ControlSettings, key: bytes) -> ControlRedirector:
     """Wire the control role of a process without a data folder."""
-    # Nothing is bound to a disk here: each start is another identity.
+    # Without a data folder nothing persists, so each start uses a new identity.
     identity = f"{settings.node}.{secrets.token_hex(4)}"
     local = LocalIdentity(settings.node, identity, settings.zone, key)
     return ControlRedirector(control, local, Random(secrets.randbits(64)))
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -147,7 +147,7 @@
         )
         self._service = service
         self._server = ConnectionServer(
-            self._local, service.on_request, service.on_push, self._subscribers.closed
+            self._local, service.on_request, service.on_push, self._subscribers.remove
         )
         listen = self._control.listen
         await self._server.start(listen.host, listen.port)
--- a/src/crowsill/control/subscribers.py
+++ b/src/crowsill/control/subscribers.py
@@ -1,7 +1,8 @@
-"""Entries that follow this member: pushing newer state and proving what is current.
+"""Streams of entries and gateways that follow this member, and proof that their state is current.
 
-Every member serves entries, so the leader need not. A follower answers a heartbeat only after the
-leader has confirmed, from its lease, what is current; many heartbeats share one confirmation.
+Every member serves entries, so the leader need not serve all of them. A follower responds to a
+heartbeat only after the leader has confirmed the current versions from its lease. Many heartbeats
+share one confirmation.
 """
 
 import asyncio
@@ -33,33 +34,33 @@
 @dataclass(slots=True)
 class _LiveEntry:
     status: EntryStatus
-    seen_s: float
+    seen_at_s: float
 
 
 class LiveEntries:
-    """Entries heard of lately."""
+    """Entries that reported recently."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _LiveEntry] = {}
 
     def note(self, statuses: list[EntryStatus], now_s: float) -> None:
-        """Record what entries say of themselves."""
+        """Record the status reports of entries."""
         for status in statuses:
             self._entries[status.incarnation] = _LiveEntry(status, now_s)
 
     def live(self, now_s: float) -> list[EntryStatus]:
-        """Return the entries heard of within `ENTRY_EXPIRY_S`, and forget the others."""
+        """Return the entries that reported within `ENTRY_EXPIRY_S`; forget the others."""
         horizon_s = now_s - ENTRY_EXPIRY_S
         self._entries = {
             incarnation: entry
             for incarnation, entry in self._entries.items()
-            if entry.seen_s >= horizon_s
+            if entry.seen_at_s >= horizon_s
         }
         return [entry.status for entry in self._entries.values()]
 
 
 class DemandCounter:
-    """Requests by resource since the last collection."""
+    """Counts requests by resource since the last collection."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
@@ -70,13 +71,13 @@
             self._counts[resource] = self._counts.get(resource, 0) + count
 
     def collect(self) -> dict[str, int]:
-        """Return the counts and start over."""
+        """Return the counts and reset them."""
         counts, self._counts = self._counts, {}
         return counts
 
 
 class Subscribers:
-    """The streams that receive configuration and fleet steps from this member."""
+    """Streams that receive configuration, fleet, routes and directory updates from this member."""
 
     def __init__(
         self,
@@ -95,49 +96,49 @@
         self._configuration_streams: set[Connection] = set()
         self._fleet_streams: set[Connection] = set()
 
-    def closed(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """Forget a stream."""
         self._configuration_streams.discard(connection)
         self._fleet_streams.discard(connection)
         self._gateway_streams.discard(connection)
 
     def subscribe(self, connection: Connection, heartbeat: Heartbeat) -> None:
-        """Send what the subscriber lacks, and keep it informed from now on."""
+        """Send the state that a subscriber is missing, and all updates from now on."""
         if heartbeat.follows_routes:
             self._subscribe_gateway(connection, heartbeat)
             return
         self._fleet_streams.add(connection)
-        # A subscriber that is a few steps behind has them on their way to it already; the whole
-        # view goes only to one that has none of this epoch, or has lost a step.
-        lacks_all = heartbeat.fleet_sequence == 0 or heartbeat.fleet_epoch < self._fleet.epoch
-        if lacks_all and self._fleet.sequence > 0:
+        # A subscriber that is a few deltas behind already has them in transit. Only one that has no
+        # delta of this epoch, or has lost one, gets the full view.
+        needs_full_view = heartbeat.fleet_sequence == 0 or heartbeat.fleet_epoch < self._fleet.epoch
+        if needs_full_view and self._fleet.sequence > 0:
             connection.push(FleetUpdate(self.full_fleet()))
         if not heartbeat.follows_configuration:
             return
         self._configuration_streams.add(connection)
-        served = [status.revision for status in heartbeat.entries]
-        if served and min(served) < self._configuration.current.revision:
-            connection.push(self._configuration_after(min(served)))
+        revisions = [status.revision for status in heartbeat.entries]
+        if revisions and min(revisions) < self._configuration.current.revision:
+            connection.push(self._configuration_after(min(revisions)))
 
     def _subscribe_gateway(self, connection: Connection, heartbeat: Heartbeat) -> None:
         if connection in self._gateway_streams:
-            # What it lacks is on its way to it already.
+            # The missing updates are already in transit.
             return
         self._gateway_streams.add(connection)
         if heartbeat.routes_version < self._routes.current.version:
             connection.push(RoutesUpdate(self._routes.current))
-        # Versions of the directory are numbers of one history, so equal ones mean equal content.
+        # Directory versions number one history, so equal versions mean equal content.
         if heartbeat.directory_version < self._directory.version:
             connection.push(DirectoryUpdate(self._directory.whole(), True))
         if heartbeat.suspects_version < self._crashes.version:
             connection.push(SuspectsUpdate(self._crashes.whole(), True))
 
     def push_routes(self) -> None:
-        """Send the routes in force."""
+        """Send the active routes."""
         self._push_to_gateways(encode_push(RoutesUpdate(self._routes.current)))
 
     def push_directory(self, change: DirectoryChange) -> None:
-        """Send a change of the directory of replicas."""
+        """Send a change of the replica directory."""
         self._push_to_gateways(encode_push(DirectoryUpdate(change, False)))
 
     def push_suspects(self, change: SuspectChange) -> None:
@@ -145,7 +146,7 @@
         self._push_to_gateways(encode_push(SuspectsUpdate(change, False)))
 
     def push_everything(self) -> None:
-        """Send all that gateways follow, after a snapshot has replaced it."""
+        """Send the full state that gateways follow, after a snapshot has replaced it."""
         self.push_routes()
         self._push_to_gateways(encode_push(DirectoryUpdate(self._directory.whole(), True)))
         self._push_to_gateways(encode_push(SuspectsUpdate(self._crashes.whole(), True)))
@@ -153,7 +154,7 @@
     def _push_to_gateways(self, payload: bytes) -> None:
         for connection in list(self._gateway_streams):
             if not connection.push_encoded(payload):
-                # A lost step cannot be made up for on this stream: the gateway opens a new one.
+                # An update lost on this stream can't be sent again; the gateway opens a new stream.
                 connection.close()
 
     def fleet_position(self) -> tuple[int, int]:
@@ -161,7 +162,7 @@
         return (self._fleet.epoch, self._fleet.sequence)
 
     def full_fleet(self) -> FleetDelta:
-        """Return the whole fleet view."""
+        """Return the full fleet view."""
         fleet = self._fleet
         return FleetDelta(fleet.epoch, fleet.sequence, True, list(fleet.replicas.values()), [])
 
@@ -172,37 +173,37 @@
         return ConfigurationUpdate(None, deltas)
 
     def push_configuration(self, delta: ConfigurationDelta) -> None:
-        """Send a newly accepted step."""
+        """Send a newly accepted configuration change."""
         payload = encode_push(ConfigurationUpdate(None, [delta]))
         for connection in self._configuration_streams:
             connection.push_encoded(payload)
 
     def push_fleet(self, delta: FleetDelta) -> None:
-        """Send a step of the fleet view."""
+        """Send a delta of the fleet view."""
         payload = encode_push(FleetUpdate(delta))
         for connection in self._fleet_streams:
             connection.push_encoded(payload)
 
 
 class FreshnessRelay:
-    """Shares one confirmation by the leader among all heartbeats that waited for it.
+    """Shares one confirmation by the leader among all heartbeats that wait for it.
 
-    A confirmation counts for a heartbeat only if it was asked for after the heartbeat came.
+    A confirmation is valid for a heartbeat only if it was requested after the heartbeat arrived.
     """
 
-    def __init__(self, ask_leader: Callable[[], Awaitable[Currency | None]]) -> None:
-        self._ask_leader = ask_leader
+    def __init__(self, query_leader: Callable[[], Awaitable[Currency | None]]) -> None:
+        self._query_leader = query_leader
         self._running: asyncio.Task[Currency | None] | None = None
         self._next: asyncio.Task[Currency | None] | None = None
 
     async def confirm(self) -> Currency | None:
-        """Return what is current, or None when no leader confirms it."""
+        """Return the current versions, or None if no leader confirms them."""
         if self._next is None:
-            self._next = asyncio.create_task(self._ask_after(self._running))
+            self._next = asyncio.create_task(self._query_after(self._running))
         return await asyncio.shield(self._next)
 
-    async def _ask_after(self, previous: asyncio.Task[Currency | None] | None) -> Currency | None:
+    async def _query_after(self, previous: asyncio.Task[Currency | None] | None) -> Currency | None:
         if previous is not None and not previous.done():
             await asyncio.wait([previous])
         self._running, self._next = self._next, None
-        return await self._ask_leader()
+        return await self._query_leader()
--- a/tests/test_redirector.py
+++ b/tests/test_redirector.py
@@ -111,7 +111,7 @@
 
 def test_a_new_leader_is_pointed_at_as_soon_as_it_says_so(monkeypatch):
     # Callers were sent to the last leader until the next question, up to 2 s later.
-    monkeypatch.setattr(redirector_module, "REFRESH_S", 60.0)
+    monkeypatch.setattr(redirector_module, "REFRESH_INTERVAL_S", 60.0)
 
     async def scenario():
         new, leading = await member(GroupReferral([f"{HOST}:1"]))
@@ -119,13 +119,13 @@
         made, inner, _ = await redirector([old])
         try:
             async with asyncio.timeout(5):
-                while made._pointer.leader != old:
+                while made._locator.leader != old:
                     await asyncio.sleep(0.01)
             await led.stop()
             told = GroupReferral([f"{HOST}:{new.port}"])
             assert await ask_once(Address(HOST, inner), told, local(), 1.0) == Pong()
             async with asyncio.timeout(10):
-                while made._pointer.leader != new:
+                while made._locator.leader != new:
                     await asyncio.sleep(0.01)
         finally:
             await made.stop()
