--- a/src/crowsill/control/bootstrap.py
+++ b/src/crowsill/control/bootstrap.py
@@ -1,7 +1,7 @@
-"""Forming a new group, which must happen at most once.
+"""Forms a new group, which must happen at most once.
 
-The first of `initial_members` forms it, after every other one has confirmed that it is blank. A
-member that lost its disk is blank too, but then the others are not: it forms nothing and waits to
+The first of `initial_members` forms it, after every other one has confirmed that it is empty. A
+member that lost its disk is empty too, but then the others are not: it forms no group and waits to
 be added under its new identity.
 """
 
@@ -16,27 +16,27 @@
 from crowsill.transport.question import ask_once
 from crowsill.transport.stream import LocalIdentity
 
-RETRY_S = 0.2
+RETRY_INTERVAL_S = 0.2
 REPLY_TIMEOUT_S = 2.0
 
 
-async def query_if_empty(peer: PeerSettings | Address, local: LocalIdentity) -> MemberBlank | None:
-    """Ask a control member for its identity; None when it does not answer."""
+async def check_if_empty(peer: PeerSettings | Address, local: LocalIdentity) -> MemberBlank | None:
+    """Query a control member's identity and whether it is empty; None without a response."""
     target = Address(peer.host, peer.port)
     reply = await ask_once(target, BlankCheck(), local, REPLY_TIMEOUT_S)
     return reply if isinstance(reply, MemberBlank) else None
 
 
 async def agree_on_members(peers: list[PeerSettings], local: LocalIdentity) -> Membership | None:
-    """Ask the other initial members until all answer.
+    """Query the other initial members until all have responded.
 
     Args:
-        peers: All initial members, this one among them.
+        peers: All initial members, including this one.
         local: Identity of this member.
 
     Returns:
-        The membership of the new group, or None when a member is not blank, so that a group
-        exists already.
+        The membership of the new group, or None if a member is not empty, so that a group already
+        exists.
     """
     identities: dict[str, str] = {}
     others = [peer for peer in peers if peer.name != local.node]
@@ -44,13 +44,13 @@
         for peer in others:
             if peer.name in identities:
                 continue
-            reply = await query_if_empty(peer, local)
+            reply = await check_if_empty(peer, local)
             if reply is not None and not reply.is_blank:
                 return None
             if reply is not None:
                 identities[peer.name] = reply.identity
         if len(identities) < len(others):
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     identities[local.node] = local.identity
     members = [Member(identities[peer.name], peer.name, peer.host, peer.port) for peer in peers]
     return Membership(members)
@@ -59,14 +59,14 @@
 async def agree_with_seeds(
     seeds: list[Address], own: Address, local: LocalIdentity
 ) -> Membership | None:
-    """Form a group with the other seeds, if this member is the one that forms it.
+    """Return the membership of a new group of the seeds, if this member has to form it.
 
     The seed with the lowest address that may vote forms the group, once every other seed has
-    confirmed that it is blank. A machine that lost its disk is not told to bootstrap, so this
+    confirmed that it is empty. A machine that lost its disk isn't configured to bootstrap, so this
     happens once.
 
     Returns:
-        The membership of the new group; None when another seed forms it, or one exists already.
+        The membership of the new group; None if another seed forms it, or a group already exists.
     """
     ordered = sorted(seeds, key=lambda seed: (seed.host, seed.port))
     if own not in ordered:
@@ -76,7 +76,7 @@
         for seed in ordered:
             if seed in replies:
                 continue
-            reply = await query_if_empty(seed, local)
+            reply = await check_if_empty(seed, local)
             if reply is None:
                 continue
             comes_first = ordered.index(seed) < ordered.index(own)
@@ -84,7 +84,7 @@
                 return None
             replies[seed] = reply
         if len(replies) < len(ordered):
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     voters = [seed for seed in ordered if replies[seed].may_vote]
     return Membership([_seed_member(replies[seed].identity, seed) for seed in voters])
 
@@ -94,6 +94,6 @@
 
 
 def first_state(membership: Membership) -> Ready:
-    """Return the durable state that a new group starts from: its membership as entry 1."""
+    """Return the initial durable state of a new group: its membership as entry 1."""
     entry = LogEntry(1, 1, EntryKind.MEMBERSHIP, encode_membership(membership))
     return Ready(hard_state=HardState(1, None), entries=[entry])
--- a/src/crowsill/control/joining.py
+++ b/src/crowsill/control/joining.py
@@ -1,4 +1,4 @@
-"""A member that belongs to no group, or is cut off from it, asks the others to take it in."""
+"""Requests membership for a member that belongs to no group or is cut off from its group."""
 
 import asyncio
 from random import Random
@@ -15,13 +15,13 @@
 from crowsill.transport.question import ask_leader
 from crowsill.transport.stream import LocalIdentity
 
-CHECK_S = 0.1
-ATTACHED_WITHIN_S = 1.0
+CHECK_INTERVAL_S = 0.1
+LEADER_CONTACT_LIFETIME_S = 1.0
 REPLY_TIMEOUT_S = 0.8
 
 
 class GroupJoiner:
-    """Keeps one member attached to the group."""
+    """Keeps one member connected to the group."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
             node: The member.
             local: Its identity.
             own: Where other members reach it.
-            contacts: Whom to ask beside the members that its log names.
-            random: Source of the pauses between questions.
+            contacts: Addresses to query besides the members in its log.
+            random: Randomizes the pauses between requests.
         """
         self._node = node
         self._local = local
@@ -50,29 +50,29 @@
         node = self._node
         if node.leader is not None:
             return True
-        heard_s = monotonic_s() - node.last_leader_contact_s
-        return node.leader_id is not None and heard_s < ATTACHED_WITHIN_S
+        silent_s = monotonic_s() - node.last_leader_contact_s
+        return node.leader_id is not None and silent_s < LEADER_CONTACT_LIFETIME_S
 
     def _targets(self) -> list[Address]:
-        # What its own log names may be long out of date, so that hearsay goes on counting.
+        # The members in its own log may be outdated, so addresses learned elsewhere stay in use.
         logged = [Address(item.host, item.port) for item in self._node.membership.members]
         targets = dict.fromkeys([*self._contacts.targets(), *logged])
         return [item for item in targets if item != self._own]
 
     async def run(self) -> None:
-        """Ask whenever no leader is heard, until cancelled."""
+        """Request membership whenever no leader is in contact, until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_S * (0.5 + self._random.random()))
+            await asyncio.sleep(CHECK_INTERVAL_S * (0.5 + self._random.random()))
             if self._is_attached():
                 self._contacts.found()
                 continue
             for target in self._targets():
-                if await self._ask(target):
+                if await self._request_join(target):
                     break
             else:
                 self._contacts.missed(monotonic_s())
 
-    async def _ask(self, target: Address) -> bool:
+    async def _request_join(self, target: Address) -> bool:
         request = JoinRequest(self._local.identity, self._own.host, self._own.port)
         _, reply = await ask_leader(target, request, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
@@ -80,6 +80,6 @@
         if not isinstance(reply, JoinReply) or not reply.accepted:
             return False
         log_event(Event.JOIN_ASKED, accepted=True, identity=self._local.identity)
-        # The leader's first message follows at once; asking again meanwhile brings nothing.
-        await asyncio.sleep(CHECK_S)
+        # The leader's first message follows at once; another request meanwhile has no effect.
+        await asyncio.sleep(CHECK_INTERVAL_S)
         return True
--- a/src/crowsill/control/leader_link.py
+++ b/src/crowsill/control/leader_link.py
@@ -1,4 +1,4 @@
-"""A follower's stream to the leader: fleet steps come in, heartbeats go out."""
+"""A follower's stream to the leader: it receives fleet deltas and sends heartbeats."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from crowsill.transport.messages import Body, FleetUpdate
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
-REFRESH_S = 0.5
-RETRY_S = 0.05
-# As often as the consensus core ticks: what it learns of the leader is seen at its next step.
-WATCH_S = 0.05
+REFRESH_INTERVAL_S = 0.5
+RETRY_INTERVAL_S = 0.05
+# The interval of the consensus core's clock, so that a change of leader is seen within one tick.
+LEADER_CHECK_INTERVAL_S = 0.05
 
 
 class LeaderLink:
-    """Keeps a stream to whoever leads."""
+    """Keeps a stream to the current leader."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
 
         Args:
             local: Identity for the handshake.
-            service: The member's service, which asks through the stream.
+            service: The member's service, which sends requests through the stream.
             fleet: The member's fleet view.
-            publish: Receives each step of the view.
+            publish: Receives each delta of the view.
         """
         self._local = local
         self._service = service
@@ -45,7 +45,7 @@
             driver = self._service.driver
             address = None if driver is None else driver.leader_address()
             if driver is None or address is None or driver.is_leader:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             await self._follow(address)
 
@@ -56,27 +56,27 @@
                 target.host, target.port, self._local, on_push=self._on_push
             )
         except (OSError, TimeoutError, ProtocolError):
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             return
         reader = asyncio.create_task(connection.run())
         self._service.leader_stream = connection
-        refreshing = asyncio.create_task(self._refresh())
+        refresh_task = asyncio.create_task(self._refresh())
         try:
-            # Looked at beside the questions, not between them: a question to a leader that is lost
-            # without a word lasts until its time-out, and all that followers ask waits behind it.
+            # Checked in parallel with the requests: a request to a leader that vanished silently
+            # lasts until its time-out, and all requests of followers would wait for it.
             while not connection.is_closed and self._still_leads(address):
-                await asyncio.sleep(WATCH_S)
+                await asyncio.sleep(LEADER_CHECK_INTERVAL_S)
         finally:
             self._service.leader_stream = None
-            refreshing.cancel()
+            refresh_task.cancel()
             connection.close()
-            await asyncio.wait([reader, refreshing])
+            await asyncio.wait([reader, refresh_task])
 
     async def _refresh(self) -> None:
-        """Ask the leader again and again, so that fleet and demand stay up to date."""
+        """Query the leader periodically, so that fleet and demand stay current."""
         while True:
             await self._service.refresh_from_leader()
-            await asyncio.sleep(REFRESH_S)
+            await asyncio.sleep(REFRESH_INTERVAL_S)
 
     def _still_leads(self, address: str) -> bool:
         driver = self._service.driver
--- a/src/crowsill/control/members.py
+++ b/src/crowsill/control/members.py
@@ -1,4 +1,4 @@
-"""Changing who belongs to the group: the leader's side of `crowsill members`."""
+"""Membership changes of the group: the leader's side of `crowsill members`."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
     next_membership,
     risk,
 )
-from crowsill.control.bootstrap import query_if_empty
+from crowsill.control.bootstrap import check_if_empty
 from crowsill.control.driver import ConsensusDriver
 from crowsill.settings import Address, PeerSettings
 from crowsill.transport.membership_messages import (
@@ -25,23 +25,23 @@
 )
 from crowsill.transport.stream import LocalIdentity
 
-ALIVE_WITHIN_S = 1.0
-RECONCILE_S = 0.1
+MAX_MEMBER_SILENCE_S = 1.0
+RECONCILE_INTERVAL_S = 0.1
 
 
 class MemberChanges:
-    """Looks at and changes the group while this member leads."""
+    """Reports and changes the group's membership while this member leads."""
 
     def __init__(
         self, driver: ConsensusDriver, local: LocalIdentity, target_voters: int | None = None
     ) -> None:
-        """Look at the group of a driver.
+        """Make the handler of membership changes.
 
         Args:
             driver: The driver of this member.
-            local: Identity for questions to other members.
-            target_voters: Voters of a group that keeps its size by itself; None for one whose
-                members are changed by operators.
+            local: Identity for requests to other members.
+            target_voters: Number of voters of a group that maintains its size by itself; None for a
+                group whose members are changed by operators.
         """
         self._driver = driver
         self._local = local
@@ -51,26 +51,26 @@
         return group_health(self._driver.node, monotonic_s())
 
     async def handle(self, request: MembersRequest) -> MembersReport:
-        """Start a change, if one is asked for, and report the group."""
-        refusal = ""
+        """Start the requested change, if any, and report the group."""
+        rejection = ""
         match request.action:
             case MemberAction.ADD:
-                refusal = await self._add(request, "")
+                rejection = await self._add(request, "")
             case MemberAction.REPLACE:
-                refusal = await self._replace(request)
+                rejection = await self._replace(request)
             case MemberAction.REMOVE:
-                refusal = self._remove(request.name)
+                rejection = self._remove(request.name)
             case MemberAction.LIST:
                 pass
-        return self.report(refusal)
+        return self.report(rejection)
 
-    def report(self, refusal: str = "") -> MembersReport:
+    def report(self, rejection: str = "") -> MembersReport:
         """Describe the group."""
         node = self._driver.node
         health = self._health()
         members = [self._describe(member, health) for member in node.membership.members]
-        arguments = (node.membership, node.member_id, health, ALIVE_WITHIN_S)
-        return MembersReport(refusal, is_whole(*arguments), risk(*arguments), members)
+        arguments = (node.membership, node.member_id, health, MAX_MEMBER_SILENCE_S)
+        return MembersReport(rejection, is_whole(*arguments), risk(*arguments), members)
 
     def _describe(self, member: Member, health: GroupHealth) -> MemberReport:
         leads = member.member_id == self._driver.node.member_id
@@ -101,22 +101,22 @@
 
     async def _add(self, request: MembersRequest, replaces: str) -> str:
         peer = PeerSettings(request.name, request.host, request.port)
-        answer = await query_if_empty(peer, self._local)
-        if answer is None:
-            return f"no control member answers at {request.host}:{request.port}"
-        if self._find(answer.identity) is not None:
-            return ""  # A resend: it is a member already.
-        if not answer.is_blank:
+        state = await check_if_empty(peer, self._local)
+        if state is None:
+            return f"no control member responds at {request.host}:{request.port}"
+        if self._find(state.identity) is not None:
+            return ""  # A repeated request: it is a member already.
+        if not state.is_blank:
             return "the machine holds the state of another member; empty its data folder first"
-        name = answer.identity.rpartition(".")[0]
-        learner = Member(answer.identity, name, request.host, request.port, False, replaces)
+        name = state.identity.rpartition(".")[0]
+        learner = Member(state.identity, name, request.host, request.port, False, replaces)
         return self._propose(self._driver.node.membership.with_member(learner))
 
     def join(self, request: JoinRequest) -> JoinReply:
-        """Take in a member that asks for it, as a learner at first.
+        """Add a member that requests it, first as a learner.
 
         A member at the same address under another identity has lost its disk or its machine, and
-        the learner is to take its place.
+        the learner replaces it.
         """
         membership = self._driver.node.membership
         if self._repair is None or membership.find(request.identity) is not None:
@@ -134,16 +134,16 @@
         return JoinReply(self._driver.propose_membership(membership.with_member(learner)))
 
     def silent_addresses(self) -> list[Address]:
-        """Return the addresses of members that are not heard, former ones of blank members too."""
+        """Return the addresses of silent members; an empty member uses its former address."""
         silent_s = self._health().silent_s
         return [
             Address(member.host, member.port)
             for member in self._driver.node.membership.members
-            if silent_s.get(member.member_id, 0.0) > ALIVE_WITHIN_S
+            if silent_s.get(member.member_id, 0.0) > MAX_MEMBER_SILENCE_S
         ]
 
     def is_full(self) -> bool:
-        """Whether the group has all the voters that it is to have, and they are there."""
+        """Whether the group has its target number of voters and its membership is committed."""
         if self._repair is None:
             return True
         node, health = self._driver.node, self._health()
@@ -154,11 +154,11 @@
     def _remove(self, name: str) -> str:
         member = self._find(name)
         if member is None:
-            return ""  # A resend: it is gone already.
+            return ""  # A repeated request: it is removed already.
         if member.member_id == self._driver.node.member_id:
             return "the leader cannot remove itself; stop it first"
-        left = self._driver.node.membership.without_member(member.member_id)
-        return self._propose(left)
+        remaining = self._driver.node.membership.without_member(member.member_id)
+        return self._propose(remaining)
 
     def _propose(self, membership: Membership) -> str:
         if self._driver.propose_membership(membership):
@@ -166,13 +166,13 @@
         return "another membership change is under way; try again"
 
     async def reconcile(self) -> None:
-        """Carry learners forward until cancelled: promote them once they have caught up."""
+        """Promote learners that have caught up, and repair the group, until cancelled."""
         while True:
-            await asyncio.sleep(RECONCILE_S)
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
             node = self._driver.node
             if not node.is_settled_leader:
                 continue
             health = self._health()
-            wanted = next_membership(node.membership, health, ALIVE_WITHIN_S, self._repair)
+            wanted = next_membership(node.membership, health, MAX_MEMBER_SILENCE_S, self._repair)
             if wanted is not None:
                 self._driver.propose_membership(wanted)
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -166,7 +166,7 @@
         if isinstance(request, JoinRequest):
             return self._changes(driver).join(request)
         if self.announcer is not None:
-            self.announcer.note_asked(request.address)
+            self.announcer.note_request(request.address)
         return GroupReferral([format_address(address) for address in member_addresses(driver)])
 
     def _handle_locally(
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -111,12 +111,12 @@
 def test_one_that_asks_is_recorded_and_not_visited_while_it_is_in_touch(monkeypatch):
     site = Site(monkeypatch, [])
     site.silent = site.seeds = []
-    site.announcer.note_asked("10.0.0.4:7")
+    site.announcer.note_request("10.0.0.4:7")
     site.run(0.1)
     members = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}
     assert set(site.machine.control_addresses.addresses) == {"10.0.0.4:7", *members}
     assert site.visited == []
-    monkeypatch.setattr(announcer_module, "IN_TOUCH_S", 0.0)
+    monkeypatch.setattr(announcer_module, "CONTACT_LIFETIME_S", 0.0)
     site.run(0.1)
     assert site.visited == [DISKLESS]
 
--- a/tests/test_redirector.py
+++ b/tests/test_redirector.py
@@ -138,7 +138,7 @@
     async def scenario():
         made, inner, _ = await redirector([])
         try:
-            answer = await bootstrap.query_if_empty(Address(HOST, inner), local("other"))
+            answer = await bootstrap.check_if_empty(Address(HOST, inner), local("other"))
             assert answer == MemberBlank("", True, may_vote=False)
         finally:
             await made.stop()
@@ -161,7 +161,7 @@
         place = SEEDS.index(seed)
         return MemberBlank(f"m{place}.1", True, may_vote=place not in diskless)
 
-    monkeypatch.setattr(bootstrap, "query_if_empty", answer)
+    monkeypatch.setattr(bootstrap, "check_if_empty", answer)
     formed = asyncio.run(agree_with_seeds(SEEDS, SEEDS[own], local(f"m{own}")))
     if expected is None:
         assert formed is None
@@ -173,7 +173,7 @@
     async def answer(seed, _local):
         return MemberBlank("m.1", is_blank=seed != SEEDS[2])
 
-    monkeypatch.setattr(bootstrap, "query_if_empty", answer)
+    monkeypatch.setattr(bootstrap, "check_if_empty", answer)
     assert asyncio.run(agree_with_seeds(SEEDS, SEEDS[0], local())) is None
 
 
