--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -22,7 +22,7 @@
     CommandResult,
     decode_batch,
     encode_batch,
-    ends_sending,
+    stops_attempts,
 )
 from crowsill.state.machine import StateMachine
 from crowsill.storage.journal import Journal
@@ -275,7 +275,7 @@
             self._on_applied(command, result)
             # Followers apply this with the leader's next message, and gateways keep sending
             # requests until the followers have applied it.
-            self._must_announce_commit = self._must_announce_commit or ends_sending(command)
+            self._must_announce_commit = self._must_announce_commit or stops_attempts(command)
         COMMITS.inc(len(results))
         return results
 
--- a/src/crowsill/control/fleet_observer.py
+++ b/src/crowsill/control/fleet_observer.py
@@ -52,10 +52,10 @@
         """The merged state, or None before the first report."""
         if self.report is None:
             return None
-        if self.report.leaving or self.description.leaving:
+        if self.report.draining or self.description.draining:
             self.draining_incarnation = self.report.incarnation
-        leaving = self.draining_incarnation == self.report.incarnation
-        report = msgspec.structs.replace(self.report, leaving=leaving)
+        draining = self.draining_incarnation == self.report.incarnation
+        report = msgspec.structs.replace(self.report, draining=draining)
         reachable = self.failures < UNREACHABLE_AFTER_FAILURES
         return ReplicaState(self.description, report, reachable, number)
 
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -18,7 +18,7 @@
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.settings import Address
-from crowsill.state.commands import CrashNote, PublishRoutes
+from crowsill.state.commands import CrashCommand, PublishRoutes
 from crowsill.transport.connection import Connection, ConnectionLostError
 from crowsill.transport.group_contacts import GroupContacts
 from crowsill.transport.leader_client import format_address
@@ -293,7 +293,7 @@
             case _:
                 return await self._on_heartbeat(connection, request, driver)
 
-    async def _commit_crash_command(self, crash_command: CrashNote) -> Body:
+    async def _commit_crash_command(self, crash_command: CrashCommand) -> Body:
         """Commit what a gateway observed; a second commit changes nothing."""
         try:
             return await self.submit_or_forward(SubmitCommand(crash_command))
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -72,7 +72,7 @@
     def is_backing_off(self, instance: Instance) -> bool:
         """Whether a replica asked this process for rest, so that nothing is to be sent there."""
         known = self._availability.get(instance.instance_id)
-        return known is not None and known.is_resting(monotonic_s())
+        return known is not None and known.is_backing_off(monotonic_s())
 
     async def call(
         self, instance: Instance, message: bytes, timeout_s: float
@@ -90,9 +90,9 @@
 
     def _take_signals(self, instance: Instance, answer: CallResponse) -> None:
         signals = read_signals(answer.status, answer.headers, self._names, wall_s())
-        if signals.rest_s > 0.0:
-            self._note_rest(instance, answer.status, signals.rest_s)
-        if signals.is_leaving:
+        if signals.backoff_s > 0.0:
+            self._note_rest(instance, answer.status, signals.backoff_s)
+        if signals.is_draining:
             self.on_draining([instance.instance_id])
 
     def _note_rest(self, instance: Instance, status: int, rest_s: float) -> None:
@@ -101,7 +101,7 @@
         self._availability.move_to_end(life)
         if len(self._availability) > REMEMBERED_RESTS:
             self._availability.popitem(last=False)
-        if known.note_rest(rest_s, monotonic_s()):
+        if known.note_backoff(rest_s, monotonic_s()):
             log_event(Event.REPLICA_RESTS, replica=life, status=status, rest_s=round(rest_s, 3))
 
     async def _exchange(
--- a/tests/patterns/test_model_that_is_on_its_way.py
+++ b/tests/patterns/test_model_that_is_on_its_way.py
@@ -10,11 +10,11 @@
 import pytest
 
 from crowsill.gateway.holding import return_s, wait_budget_of, waits
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.selection import NoReplicaReason
 from crowsill.gateway.wait_estimates import estimate_wait
-from crowsill.model.instances import ComingModel, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, LoadingModel
 from crowsill.model.routes import ModelWeights, Route, RouteKind, WeightedService
 
 LOAD_S = 8.0
@@ -38,17 +38,17 @@
         "127.0.0.1:1",
         "z",
         8,
-        models=[HeldModel("n")],
-        coming=[ComingModel("m", LOAD_S)],
+        models=[LoadedModel("n")],
+        loading=[LoadingModel("m", LOAD_S)],
     )
     record = ReplicaRecord(instance)
-    record.note_coming(0.0)
+    record.note_loading_models(0.0)
     request = CallerRequest(b"POST", b"/", [], b"", True, arrived_s, model="m")
     now_s = arrived_s
     while now_s < LOAD_S:
         waited_s = now_s - arrived_s
         estimate = estimate_wait(
-            NoChoice.NO_MODEL,
+            NoReplicaReason.NO_MODEL,
             request,
             records=[record],
             weights=MODEL,
