--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -47,13 +47,13 @@
 
 HEARTBEAT_S = 0.5
 HEARTBEAT_TIMEOUT_S = 0.8
-RETRY_S = 0.05
-LONGEST_RETRY_S = 0.2
+INITIAL_RETRY_S = 0.05
+MAX_RETRY_S = 0.2
 # Gateways that follow a member of another site move to their own within this time, each at a moment
 # of its own, so that hundreds of them do not come at once.
-MOVE_SPREAD_S = 2.0
+ZONE_SWITCH_SPREAD_S = 2.0
 # A member of the own site that has failed is followed again after this time at the soonest.
-MOVE_AGAIN_S = 5.0
+ZONE_SWITCH_RETRY_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,13 +106,13 @@
         self._hooks = hooks
         self._random = random
         self._connection: Connection | None = None
-        self._failed: Address | None = None
+        self._last_failed: Address | None = None
         # Clock from which a member of the own site is preferred to the one that is followed.
-        self._move_s = monotonic_s() + MOVE_SPREAD_S * random.random()
-        self._is_moving = False
+        self._prefer_own_zone_at_s = monotonic_s() + ZONE_SWITCH_SPREAD_S * random.random()
+        self._is_switching_zone = False
         # What the group confirmed as current, while not all of it has come.
-        self._awaited: Currency | None = None
-        self._asked_s = 0.0
+        self._pending_freshness: Currency | None = None
+        self._heartbeat_sent_at_s = 0.0
 
     def use_seeds(self, seeds: list[Address]) -> None:
         """Use other seeds from now on."""
@@ -121,35 +121,35 @@
     def _targets(self) -> list[Address]:
         """Known members, those of the own site first, then others; the last that failed is last."""
         targets = self._contacts.targets()
-        if monotonic_s() >= self._move_s:
+        if monotonic_s() >= self._prefer_own_zone_at_s:
             targets.sort(key=lambda address: not self._contacts.is_at(address, self._local.zone))
-        targets.sort(key=lambda address: address == self._failed)
+        targets.sort(key=lambda address: address == self._last_failed)
         return targets
 
-    def _should_move(self, address: Address, now_s: float) -> bool:
+    def _should_switch_zone(self, address: Address, now_s: float) -> bool:
         """Whether a member of the own site is to be followed in place of the present one."""
         zone = self._local.zone
-        if now_s < self._move_s or self._contacts.is_at(address, zone):
+        if now_s < self._prefer_own_zone_at_s or self._contacts.is_at(address, zone):
             return False
         return any(self._contacts.is_at(member, zone) for member in self._contacts.members)
 
     async def run(self) -> None:
         """Follow for as long as the gateway runs."""
-        pause_s = RETRY_S
+        delay_s = INITIAL_RETRY_S
         while True:
             for address in self._targets():
                 is_proved = await self._follow(address)
-                self._failed = address
+                self._last_failed = address
                 if is_proved:
-                    pause_s = RETRY_S
+                    delay_s = INITIAL_RETRY_S
                     break
             else:
                 self._contacts.missed(monotonic_s())
-            if self._is_moving:
-                self._is_moving = False
+            if self._is_switching_zone:
+                self._is_switching_zone = False
                 continue
-            await asyncio.sleep(pause_s * (0.5 + self._random.random()))
-            pause_s = min(LONGEST_RETRY_S, pause_s * 1.5)
+            await asyncio.sleep(delay_s * (0.5 + self._random.random()))
+            delay_s = min(MAX_RETRY_S, delay_s * 1.5)
 
     async def _follow(self, address: Address) -> bool:
         """Follow one member until it fails; return whether it ever proved anything."""
@@ -158,39 +158,41 @@
                 address.host, address.port, self._local, on_push=self._on_push
             )
         except (OSError, TimeoutError, ProtocolError):
-            self._note_failed(address)
+            self._note_member_failed(address)
             return False
         reader = asyncio.create_task(connection.run())
-        proved = False
+        has_proved = False
         try:
             while not connection.is_closed and await self._heartbeat(connection):
-                if not proved:
+                if not has_proved:
                     log_event(Event.PEER_CONNECTED, member=connection.peer.node)
-                proved = True
+                has_proved = True
                 self._contacts.found()
                 self._connection = connection
-                if self._should_move(address, monotonic_s()):
-                    self._is_moving = True
-                    return proved
+                if self._should_switch_zone(address, monotonic_s()):
+                    self._is_switching_zone = True
+                    return has_proved
                 await asyncio.wait([reader], timeout=HEARTBEAT_S)
-            self._note_failed(address)
-            return proved
+            self._note_member_failed(address)
+            return has_proved
         finally:
-            if proved:
+            if has_proved:
                 log_event(Event.PEER_LOST, member=connection.peer.node)
-            self.lost()
+            self.note_disconnected()
             connection.close()
             await asyncio.wait([reader])
 
-    def _note_failed(self, address: Address) -> None:
+    def _note_member_failed(self, address: Address) -> None:
         """A member could not be followed: one of the own site is left alone for a while."""
         if self._contacts.is_at(address, self._local.zone):
-            self._move_s = monotonic_s() + MOVE_AGAIN_S * (1.0 + self._random.random())
+            self._prefer_own_zone_at_s = monotonic_s() + ZONE_SWITCH_RETRY_S * (
+                1.0 + self._random.random()
+            )
 
-    def lost(self) -> None:
+    def note_disconnected(self) -> None:
         """The stream has ended: what was confirmed on it counts no more."""
         self._connection = None
-        self._awaited = None
+        self._pending_freshness = None
 
     async def _heartbeat(self, connection: Connection) -> bool:
         local = self._local
@@ -215,15 +217,15 @@
             in_use=in_use,
             limits=self.registry.limit_reports(monotonic_s()),
         )
-        asked_s = monotonic_s()
+        sent_at_s = monotonic_s()
         try:
             reply = await connection.request(heartbeat, HEARTBEAT_TIMEOUT_S)
         except ConnectionLostError:
             reply = None
         if isinstance(reply, NotLeader):
             # Hearsay: a process that was restarted without a memory may know the group by it alone.
-            told = [*([] if reply.leader is None else [reply.leader]), *reply.members]
-            self._contacts.refer([parse_address(member) for member in told])
+            referred = [*([] if reply.leader is None else [reply.leader]), *reply.members]
+            self._contacts.refer([parse_address(member) for member in referred])
         if not isinstance(reply, Currency):
             # What was counted is dropped: kept, it would arrive later as if it had come at once.
             return False
@@ -233,38 +235,38 @@
         if reply.members:
             members = [parse_address(member) for member in reply.members]
             self._contacts.learn(members, reply.member_zones)
-        if self._awaited is not None:
+        if self._pending_freshness is not None:
             # A stream keeps its order, so that what one reply confirmed has come before the next
             # reply, however slow the link is. What has not come will not: ask another member.
-            self._log_awaited(connection, self._awaited)
+            self._log_pending_freshness(connection, self._pending_freshness)
             return False
-        self._awaited = reply
-        self._asked_s = asked_s
-        self._prove_current()
+        self._pending_freshness = reply
+        self._heartbeat_sent_at_s = sent_at_s
+        self._report_if_current()
         return True
 
-    def _log_awaited(self, connection: Connection, awaited: Currency) -> None:
+    def _log_pending_freshness(self, connection: Connection, freshness: Currency) -> None:
         """Log that what one heartbeat confirmed had not come by the next one."""
         log_event(
             Event.ROUTES_AWAITED,
             member=connection.peer.node,
             routes=self.routes_version,
-            confirmed_routes=awaited.routes_version,
+            confirmed_routes=freshness.routes_version,
             directory=self.registry.version,
-            confirmed_directory=awaited.directory_version,
+            confirmed_directory=freshness.directory_version,
         )
 
-    def _prove_current(self) -> None:
+    def _report_if_current(self) -> None:
         """Say so once everything that the group confirmed last has come."""
-        awaited = self._awaited
-        if awaited is None or self.routes_version < awaited.routes_version:
+        freshness = self._pending_freshness
+        if freshness is None or self.routes_version < freshness.routes_version:
             return
-        if self.registry.version < awaited.directory_version:
+        if self.registry.version < freshness.directory_version:
             return
-        if self._guard.version < awaited.suspects_version:
+        if self._guard.version < freshness.suspects_version:
             return
-        self._awaited = None
-        self._hooks.on_current(max(1, awaited.entries), self._asked_s)
+        self._pending_freshness = None
+        self._hooks.on_current(max(1, freshness.entries), self._heartbeat_sent_at_s)
 
     def send_notice(
         self, notice: DemandNotice | SuspectInstances | LeavingInstances | ReplicaLimitsNotice
@@ -297,4 +299,4 @@
             self._hooks.on_directory(ended)
         elif isinstance(body, SuspectsUpdate):
             self._hooks.on_suspects(body.change, body.whole)
-        self._prove_current()
+        self._report_if_current()
