--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -77,7 +77,7 @@
         current = []
         here = follower(current)
         assert await here._heartbeat(ConfirmingMember(7, 0))
-        here.lost()
+        here.note_disconnected()
         here._on_push(None, routes(7))
         assert current == []
 
@@ -140,8 +140,8 @@
 def _play_sites(monkeypatch, scenario):
     """Run a scenario with a gateway of site `z` that knows the member of another site only."""
     monkeypatch.setattr(follower_module, "HEARTBEAT_S", 0.02)
-    monkeypatch.setattr(follower_module, "MOVE_SPREAD_S", 0.1)
-    monkeypatch.setattr(follower_module, "MOVE_AGAIN_S", 0.2)
+    monkeypatch.setattr(follower_module, "ZONE_SWITCH_SPREAD_S", 0.1)
+    monkeypatch.setattr(follower_module, "ZONE_SWITCH_RETRY_S", 0.2)
 
     async def play():
         home, abroad = await SiteMember("z").start(), await SiteMember("y").start()
