--- a/src/crowsill/gateway/fingerprint.py
+++ b/src/crowsill/gateway/fingerprint.py
@@ -1,7 +1,7 @@
-"""What stays the same when a caller sends a request again: a keyed digest of it. Pure.
+"""Fingerprints of requests: a keyed digest that is equal for duplicates of a request. Pure.
 
-Ids, deadlines, the order and case of headers and the framing of a body change from one sending to
-the next; host, path with query, method, tenant and body do not.
+The digest covers host, path with query, method, tenant and body. It leaves out what changes from
+one attempt to the next: ids, deadlines, other headers and the framing of the body.
 """
 
 import hashlib
@@ -9,19 +9,19 @@
 from crowsill.gateway.request import CallerRequest
 
 FINGERPRINT_BYTES = 16
-# Keeps digests of this kind apart from any other use of the cluster key.
+# Separates these digests from other uses of the cluster key.
 _PURPOSE = b"crowsill-request"
 
 
 class Fingerprints:
-    """Makes fingerprints; all gateways of a cluster make the same one of a request."""
+    """Computes fingerprints; all gateways of a cluster compute the same one for a request."""
 
     def __init__(self, cluster_key: bytes) -> None:
-        """Make it.
+        """Derive the key of the digest.
 
         Args:
-            cluster_key: Keys the digest, so that nobody else can tell from a log line what a
-                request held.
+            cluster_key: The cluster's secret. Without it, a request's content can't be guessed and
+                verified from a fingerprint in a log line.
         """
         self._key = hashlib.blake2b(cluster_key, digest_size=32, person=_PURPOSE).digest()
 
@@ -30,11 +30,12 @@
 
         Args:
             request: The request.
-            tenant: Whose it is where callers show keys, so that no other tenant can make a request
-                that has the same fingerprint; else empty.
+            tenant: The caller's tenant where callers need API keys, so that no other tenant can
+                send a request with the same fingerprint; else empty.
 
-        The address that a request came from is no part of it: one caller may come from several
-        sites. With it, a request from four addresses ended 12 replicas in place of 3.
+        The caller's address is not included, because one caller may use several addresses. If it
+        were, a request sent from four addresses could crash 12 replicas before its quarantine
+        instead of 3.
 
         >>> first = CallerRequest(b"POST", b"/a", [], b"x", True, 0.0, request_id=b"1")
         >>> again = CallerRequest(b"POST", b"/a", [(b"N", b"1")], b"x", True, 9.0, request_id=b"2")
@@ -44,7 +45,7 @@
         """
         digest = hashlib.blake2b(key=self._key, digest_size=FINGERPRINT_BYTES)
         for part in (tenant.encode(), request.host.encode(), request.method, request.target):
-            # The length first: no two different rows of parts give the same bytes.
+            # The length prefix makes the encoding of the parts unambiguous.
             digest.update(b"%d:" % len(part))
             digest.update(part)
         digest.update(request.body)
