--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -240,7 +240,7 @@
     def _refund(self, is_retry: bool) -> None:
         """Return what was charged for an attempt that sent nothing."""
         if is_retry:
-            self._context.budget(self._service).give_back()
+            self._context.budget(self._service).refund()
         if self._progress.may_have_run:
             self._admission.not_run()
 
