--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -17,7 +17,7 @@
 from crowsill.logs import log_event
 from crowsill.model.instances import Instance
 from crowsill.model.routes import EngineLimits, RouteConfiguration
-from crowsill.placement.copies import CopyPlanner
+from crowsill.placement.copy_planner import CopyPlanner
 from crowsill.placement.copy_views import EngineView, Job, ServiceView
 from crowsill.placement.demand import DemandEstimate
 from crowsill.placement.load_window import LoadWindow
@@ -249,10 +249,10 @@
             engines=views,
             demand=_select_service(self._demand.rates, name),
             urgent=_select_service(self._urgent.rates, name),
-            pressed=_select_service(self._overloaded.rates, name),
-            asked_s=_select_service(self._requested_at_s, name),
-            wanted=list(_select_service(self._waited_for_at_s, name)),
-            wanted_since_s=_select_service(
+            overloaded=_select_service(self._overloaded.rates, name),
+            requested_at_s=_select_service(self._requested_at_s, name),
+            awaited=list(_select_service(self._waited_for_at_s, name)),
+            awaited_since_at_s=_select_service(
                 {
                     model: since_s
                     for model, (last_s, since_s) in self._wait_spans.items()
@@ -260,11 +260,11 @@
                 },
                 name,
             ),
-            began_s=self._first_order_at_s,
+            started_at_s=self._first_order_at_s,
             store_loads=self._load_window(name, limits).left(now_s),
             now_s=now_s,
             is_settled=self._is_settled(name, now_s),
-            missed=self._missing_requests_of(name, limits, views),
+            missed_requests=self._missing_requests_of(name, limits, views),
             turn_share=self._turn_share,
         )
         by_id = {instance.instance_id: instance for instance in members}
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -142,7 +142,7 @@
         A replica without a rate limit needs no grant. If it advertises its first limit before the
         request is sent, the request needs one after all.
         """
-        if not record.availability.limit.binds(self._loop.time()):
+        if not record.availability.limit.is_in_effect(self._loop.time()):
             return float("-inf")
         return await self._context.replica_grants.acquire(record, is_urgent(route))
 
@@ -151,7 +151,7 @@
         now_s = self._loop.time()
         if self._context.registry.find(record.instance.instance_id) is not record:
             return False
-        if record.availability.limit.binds(now_s) and now_s >= grant_expires_at_s:
+        if record.availability.limit.is_in_effect(now_s) and now_s >= grant_expires_at_s:
             return False
         return record.availability.accepts_on_open_connection(now_s)
 
@@ -189,7 +189,7 @@
         if record.availability.is_backing_off(sent_at_s):
             record.availability.sent_in_backoff += 1
             SENT_IN_REST.inc()
-        if record.availability.limit.holds:
+        if record.availability.limit.is_advertised:
             record.availability.sent_under_limit += 1
             SENT_UNDER_LIMIT.inc()
         self._progress.attempts += 1
