--- a/src/crowsill/api/registrations.py
+++ b/src/crowsill/api/registrations.py
@@ -50,7 +50,7 @@
         if not isinstance(body, Success):
             answer_problem(response, body.failure(), request_id_of(request))
             return
-        published = await self._registrations.publish(body.unwrap())
+        published = await self._registrations.publish_routes(body.unwrap())
         if not isinstance(published, Success):
             answer_problem(response, published.failure(), request_id_of(request))
             return
@@ -59,7 +59,7 @@
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         """Return the routes in force as they were sent."""
-        current = await self._registrations.current()
+        current = await self._registrations.current_routes()
         if not isinstance(current, Success):
             answer_problem(response, current.failure(), request_id_of(request))
             return
@@ -98,7 +98,7 @@
             problem = Problem(ErrorKind.INVALID_REQUEST, f"heartbeat: {fault}")
             answer_problem(response, problem, request_id_of(request))
             return
-        taken = await self._registrations.beat(beat)
+        taken = await self._registrations.record_heartbeat(beat)
         if not isinstance(taken, Success):
             answer_problem(response, taken.failure(), request_id_of(request))
             return
@@ -109,7 +109,7 @@
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, instance_id: str
     ) -> None:
         """Record that the replica is gone."""
-        left = await self._registrations.leave(instance_id)
+        left = await self._registrations.deregister(instance_id)
         if not isinstance(left, Success):
             answer_problem(response, left.failure(), request_id_of(request))
 
