--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -113,7 +113,7 @@
 
         Only these incarnations are removed, so the replica may start again under its name.
         """
-        instance_ids = self._machine.directory.lives_of(replica) or [replica]
+        instance_ids = self._machine.directory.instances_of(replica) or [replica]
         for instance_id in instance_ids:
             if not await self._commit(RemoveInstance(instance_id), HEARTBEAT_TIMEOUT_S):
                 return Failure(Problem(ErrorKind.NO_LEADER, "no majority recorded the removal"))
