--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -203,7 +203,7 @@
             return True
         latency_model = self._context.registry.latency_model(self._service)
         duration_s = (
-            latency_model.stream_ms(self._request.model, self._request.output_tokens) / 1000.0
+            latency_model.decode_ms(self._request.model, self._request.output_tokens) / 1000.0
         )
         return self._loop.time() + duration_s * STREAM_DURATION_MARGIN > stop_at_s
 
@@ -240,7 +240,7 @@
     def _refund(self, is_retry: bool) -> None:
         """Return what was charged for an attempt that sent nothing."""
         if is_retry:
-            self._context.budget(self._service).give_back()
+            self._context.budget(self._service).refund()
         if self._progress.may_have_run:
             self._admission.not_run()
 
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -196,4 +196,4 @@
         if not request.model:
             return 0.0
         latency_model = self._context.registry.latency_model(self._log.service)
-        return latency_model.quickest_ms(request.model, request.prompt_tokens) / 1000.0
+        return latency_model.idle_first_event_ms(request.model, request.prompt_tokens) / 1000.0
