--- a/src/crowsill/control/engine_state.py
+++ b/src/crowsill/control/engine_state.py
@@ -75,9 +75,9 @@
         held={name: names for name, names in engine.held.items() if name != engine.unloading},
         is_busy=busy,
         is_fetching=engine.is_busy and engine.is_fetching,
-        free_s=engine.free_at_s,
-        takes_adapters=engine.accepts_adapter_jobs,
+        free_at_s=engine.free_at_s,
+        accepts_adapter_jobs=engine.accepts_adapter_jobs,
         pending_mb=pending_mb,
-        loaded_s=engine.loaded_at_s,
+        loaded_at_s=engine.loaded_at_s,
         loading=engine.loading if engine.is_busy else "",
     )
--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -17,12 +17,12 @@
 from crowsill.logs import log_event
 from crowsill.model.instances import Instance
 from crowsill.model.routes import EngineLimits, RouteConfiguration
-from crowsill.placement.copies import CopyPlanner
+from crowsill.placement.copy_planner import CopyPlanner
 from crowsill.placement.copy_views import EngineView, Job, ServiceView
 from crowsill.placement.demand import DemandEstimate
 from crowsill.placement.load_window import LoadWindow
-from crowsill.state.commands import RecordLacked
-from crowsill.state.lacked_models import most_lacked
+from crowsill.state.commands import RecordMissingModels
+from crowsill.state.missing_models import most_requested
 
 PLAN_INTERVAL_S = 0.1
 # Pause after a planning step as a multiple of the step's duration. Planning must leave most of the
@@ -176,19 +176,19 @@
         if self._has_inherited_missing:
             return
         self._has_inherited_missing = True
-        for resource, count in self._ports.engines.machine.lacked.requests.items():
+        for resource, count in self._ports.engines.machine.missing_models.requests.items():
             self._missing_requests[resource] = self._missing_requests.get(resource, 0.0) + count
 
     async def _record_missing(self) -> None:
         """Record the requests for missing models for the next leader."""
         while True:
             await asyncio.sleep(RECORD_MISSING_INTERVAL_S)
-            missing = most_lacked(self._missing_requests)
+            missing = most_requested(self._missing_requests)
             if (
                 self._has_inherited_missing
-                and missing != self._ports.engines.machine.lacked.requests
+                and missing != self._ports.engines.machine.missing_models.requests
             ):
-                await self._ports.engines.submit(RecordLacked(missing))
+                await self._ports.engines.submit(RecordMissingModels(missing))
 
     def _step_safely(self) -> None:
         """Plan once; an exception must not stop placement until the next change of leader."""
@@ -249,10 +249,10 @@
             engines=views,
             demand=_select_service(self._demand.rates, name),
             urgent=_select_service(self._urgent.rates, name),
-            pressed=_select_service(self._overloaded.rates, name),
-            asked_s=_select_service(self._requested_at_s, name),
-            wanted=list(_select_service(self._waited_for_at_s, name)),
-            wanted_since_s=_select_service(
+            overloaded=_select_service(self._overloaded.rates, name),
+            requested_at_s=_select_service(self._requested_at_s, name),
+            awaited=list(_select_service(self._waited_for_at_s, name)),
+            awaited_since_at_s=_select_service(
                 {
                     model: since_s
                     for model, (last_s, since_s) in self._wait_spans.items()
@@ -260,11 +260,11 @@
                 },
                 name,
             ),
-            began_s=self._first_order_at_s,
+            started_at_s=self._first_order_at_s,
             store_loads=self._load_window(name, limits).left(now_s),
             now_s=now_s,
             is_settled=self._is_settled(name, now_s),
-            missed=self._missing_requests_of(name, limits, views),
+            missed_requests=self._missing_requests_of(name, limits, views),
             turn_share=self._turn_share,
         )
         by_id = {instance.instance_id: instance for instance in members}
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -12,7 +12,7 @@
 from crowsill.gateway.selection import Choice, part_keys
 from crowsill.metrics import GATEWAY_ATTEMPTS
 from crowsill.model.routes import Route
-from crowsill.routing.retry_after import REST_STATUSES
+from crowsill.routing.retry_after import REJECTION_STATUSES
 
 # A first event that took more than this share of its target tells placement of too few copies.
 OVERLOADED_TARGET_SHARE = 0.6
@@ -51,7 +51,7 @@
             self._log.log_backoff(record, status, signals.backoff_s)
             self._context.on_backoff(record)
         self._process_limit(record, sent_s, signals)
-        if status not in REST_STATUSES:
+        if status not in REJECTION_STATUSES:
             record.availability.note_accepted(sent_s)
         if signals.is_draining and record.note_draining(now_s):
             self._log.log_draining(record, status)
@@ -64,7 +64,7 @@
             if not availability.note_limit(signals.limit_per_s, self._loop.time()):
                 return
             self._log.log_limited(record, signals.limit_per_s)
-        elif signals.has_limit_header or not availability.limit.note_unnamed(sent_s):
+        elif signals.has_limit_header or not availability.limit.note_not_advertised(sent_s):
             return
         else:
             self._log.log_unlimited(record)
@@ -100,7 +100,7 @@
         if end.result is AttemptResult.NOT_RUN:
             if end.status == 421 and request.model:
                 record.availability.note_missing(request.resource)
-            elif end.status in REST_STATUSES and not attempt.signals.backoff_s:
+            elif end.status in REJECTION_STATUSES and not attempt.signals.backoff_s:
                 # It answers at once and has nothing in flight, so that it looks the quickest.
                 record.note_error_response()
             return
@@ -121,10 +121,10 @@
             unread = max(0, request.prompt_tokens - choice.known_tokens)
             latency_model = self._context.registry.latency_model(self._log.service)
             record.note_response_time(
-                taken_s, latency_model.quickest_ms(request.model, unread) / 1000.0, now_s
+                taken_s, latency_model.idle_first_event_ms(request.model, unread) / 1000.0, now_s
             )
-            latency_model.learn(request.model, unread, taken_s * 1000.0)
-            latency_model.learn_stream(
+            latency_model.observe_first_event(request.model, unread, taken_s * 1000.0)
+            latency_model.observe_stream(
                 request.model, request.output_tokens, (now_s - first_s) * 1000.0
             )
             return
--- a/src/crowsill/gateway/replica_grants.py
+++ b/src/crowsill/gateway/replica_grants.py
@@ -57,11 +57,11 @@
         lock = self._query_locks.setdefault(instance_id, asyncio.Lock())
         async with lock:
             now_s = loop.time()
-            if not availability.limit.binds(now_s):
+            if not availability.limit.is_in_effect(now_s):
                 return float("-inf")
             if availability.is_closed_indefinitely or now_s < availability.opens_at_s(is_urgent):
                 return None
-            report = availability.limit.told(instance_id, now_s)
+            report = availability.limit.to_report(instance_id, now_s)
             reply = await self._query(ReplicaGrantRequest(report, is_urgent), RESPONSE_TIMEOUT_S)
             if not isinstance(reply, GrantReply) or not reply.is_granted:
                 self._close(record, reply, is_urgent)
--- a/src/crowsill/gateway/replica_registry.py
+++ b/src/crowsill/gateway/replica_registry.py
@@ -7,12 +7,11 @@
 
 from crowsill.gateway.availability import Availability, ExclusionReason
 from crowsill.gateway.replica_signals import ReplicaLoad
-from crowsill.model.exclusions import MOST_TOLD, ExcludedReplica
+from crowsill.model.exclusions import MAX_REPORTED_EXCLUSIONS, ExcludedReplica
 from crowsill.model.instances import Instance, InstanceState
-from crowsill.model.replica_limits import MOST_TOLD as MOST_LIMITS_TOLD
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.replica_limits import MAX_REPORTED_LIMITS, LimitReport
 from crowsill.model.replica_use import NO_USE, ReplicaUse, UseByReplica
-from crowsill.routing.engine_pace import EngineDelay, EnginePace
+from crowsill.routing.engine_latency import DecayingDelay, LatencyModel
 from crowsill.state.directory import DirectoryChange
 
 LOAD_LIFETIME_S = 1.5
@@ -61,8 +60,8 @@
     error_share: float = 0.0
     slowness: float = 1.0
     slowness_updated_at_s: float = 0.0
-    delay: EngineDelay = field(default_factory=EngineDelay)
-    event_gap: EngineDelay = field(default_factory=EngineDelay)
+    delay: DecayingDelay = field(default_factory=DecayingDelay)
+    event_gap: DecayingDelay = field(default_factory=DecayingDelay)
     unanswered_sent_at_s: dict[int, float] = field(default_factory=dict)
     model_ready_at_s: dict[str, float] = field(default_factory=dict)
     parts: OrderedDict[PromptPartKey, None] = field(default_factory=OrderedDict)
@@ -133,7 +132,7 @@
 
     def note_response_time(self, taken_s: float, expected_s: float, now_s: float) -> None:
         """Compare the time of an answer, or of a first event, with what was expected."""
-        self.delay.learn((taken_s - expected_s) * 1000.0, now_s)
+        self.delay.observe((taken_s - expected_s) * 1000.0, now_s)
         ratio = min(20.0, max(0.2, taken_s / max(expected_s, 0.001)))
         self.slowness = self.slowness_now(now_s)
         self.slowness += (ratio - self.slowness) * SLOWNESS_WEIGHT
@@ -141,7 +140,7 @@
 
     def note_event_gap(self, gap_s: float, now_s: float) -> None:
         """Take in the time between two events of a stream that it runs."""
-        self.event_gap.learn(gap_s * 1000.0, now_s)
+        self.event_gap.observe(gap_s * 1000.0, now_s)
 
     def oldest_unanswered_ms(self, now_s: float) -> float:
         """Return how long the oldest own stream without a first event has waited."""
@@ -151,7 +150,7 @@
         """Take in what is on its way; the first word on a load tells when it began."""
         self.model_ready_at_s = {
             model.name: self.model_ready_at_s.get(model.name, now_s + model.load_s)
-            for model in self.instance.coming
+            for model in self.instance.loading
         }
 
     def remember_part(self, key: PromptPartKey) -> None:
@@ -181,7 +180,7 @@
         self.waiting_to_open: Counter[tuple[str, bool]] = Counter()
         self._records: dict[str, ReplicaRecord] = {}
         self._by_service: dict[str, list[ReplicaRecord]] = {}
-        self._latency_models: dict[str, EnginePace] = {}
+        self._latency_models: dict[str, LatencyModel] = {}
         # What lives said that have no record at present: the same life may be listed again.
         self._former_availability: OrderedDict[str, Availability] = OrderedDict()
 
@@ -190,7 +189,7 @@
         return self._by_service.get(service, [])
 
     def excluded(self, now_s: float) -> list[ExcludedReplica]:
-        """Return what is sent nothing now, and why; `MOST_TOLD` at most, the worst first."""
+        """Return at most `MAX_REPORTED_EXCLUSIONS` excluded replicas, the worst first."""
         order = list(ExclusionReason)
         found = [
             (order.index(exclusion.reason), record.instance.instance_id, exclusion)
@@ -200,19 +199,19 @@
         found.sort(key=lambda item: item[:2])
         return [
             ExcludedReplica(instance_id, exclusion.reason, exclusion.remaining_s(now_s))
-            for _, instance_id, exclusion in found[:MOST_TOLD]
+            for _, instance_id, exclusion in found[:MAX_REPORTED_EXCLUSIONS]
         ]
 
-    def limit_reports(self, now_s: float) -> list[LimitWord]:
-        """Return the limits that bind, those named last first; `MOST_TOLD` at most."""
+    def limit_reports(self, now_s: float) -> list[LimitReport]:
+        """Return the limits that bind, those named last first; `MAX_REPORTED_LIMITS` at most."""
         words = [
-            record.availability.limit.told(instance_id, now_s)
+            record.availability.limit.to_report(instance_id, now_s)
             for instance_id, record in self._records.items()
-            if record.availability.limit.binds(now_s)
+            if record.availability.limit.is_in_effect(now_s)
         ]
-        return sorted(words, key=lambda word: word.named_ago_s)[:MOST_LIMITS_TOLD]
+        return sorted(words, key=lambda word: word.advertised_ago_s)[:MAX_REPORTED_LIMITS]
 
-    def note_limit_reports(self, words: list[LimitWord], now_s: float) -> None:
+    def note_limit_reports(self, words: list[LimitReport], now_s: float) -> None:
         """Take in what the group knows of limits."""
         for word in words:
             record = self._records.get(word.instance_id)
@@ -243,9 +242,9 @@
             )
             record.note_peer_use(others, now_s)
 
-    def latency_model(self, service: str) -> EnginePace:
+    def latency_model(self, service: str) -> LatencyModel:
         """Return what is known of how fast the engines of a service are."""
-        return self._latency_models.setdefault(service, EnginePace())
+        return self._latency_models.setdefault(service, LatencyModel())
 
     def find(self, instance_id: str) -> ReplicaRecord | None:
         """Return an instance, or None."""
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -28,7 +28,7 @@
 from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.logs import log_event
 from crowsill.metrics import READY, ROUTES_VERSION
-from crowsill.model.route_codec import RouteCodec, unpack
+from crowsill.model.route_codec import RouteCodec, decompress_document
 from crowsill.model.routes import CallerLimits
 from crowsill.model.suspects import SuspectChange
 from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
@@ -116,7 +116,7 @@
         loop = asyncio.get_running_loop()
         self.pool = ConnectionPool(self.names)
         self.crash_watch = CrashWatch(
-            self.pool, self.crash_guard, self._follower.query, self._on_ended
+            self.pool, self.crash_guard, self._follower.query, self._on_crashed
         )
         self._watch = ReplicaWatch(self.registry, self.pool, self._follower.send_notice, self._wake)
         listen = self._settings.callers
@@ -164,7 +164,7 @@
     # What changes.
 
     def _on_routes(self, document: RouteDocument) -> None:
-        decoded = self._codec.decode(unpack(document)).value_or(None)
+        decoded = self._codec.decode(decompress_document(document)).value_or(None)
         if decoded is None:
             log_event(
                 Event.INTERNAL_ERROR, where="routes", error="an accepted document is unreadable"
@@ -179,13 +179,13 @@
     def _on_directory(self, ended: list[str]) -> None:
         for instance_id in ended:
             self.pool.forget(instance_id)
-            self.crash_watch.forget(instance_id)
+            self.crash_watch.drop_replica(instance_id)
         self._wake()
 
     def _on_suspects(self, change: SuspectChange, whole: bool) -> None:
         self.crash_watch.adopt(change, whole)
 
-    def _on_ended(self, instance_id: str) -> None:
+    def _on_crashed(self, instance_id: str) -> None:
         record = self.registry.find(instance_id)
         if record is not None:
             self.on_unreachable(record)
@@ -247,7 +247,7 @@
     def on_limit_changed(self, record: ReplicaRecord) -> None:
         """Tell the group at once what a replica names; heartbeats tell it again."""
         now_s = asyncio.get_running_loop().time()
-        word = record.availability.limit.told(record.instance.instance_id, now_s)
+        word = record.availability.limit.to_report(record.instance.instance_id, now_s)
         self._follower.send_notice(ReplicaLimitsNotice([word]))
 
     async def wait_for_change(self, timeout_s: float) -> bool:
@@ -302,9 +302,9 @@
         exchange = Exchange(self, connection, request)
         task = asyncio.create_task(exchange.run())
         self._exchanges[connection] = (exchange, task)
-        task.add_done_callback(lambda done: self._ended(connection, done))
+        task.add_done_callback(lambda done: self._exchange_ended(connection, done))
 
-    def _ended(self, connection: CallerConnection, task: asyncio.Task[None]) -> None:
+    def _exchange_ended(self, connection: CallerConnection, task: asyncio.Task[None]) -> None:
         running = self._exchanges.get(connection)
         if running is not None and running[1] is task:
             del self._exchanges[connection]
@@ -325,7 +325,7 @@
         """Hold the replica back while its caller does not read."""
         running = self._exchanges.get(connection)
         if running is not None:
-            running[0].pause(not writable)
+            running[0].pause_replica(not writable)
 
     # Stopping.
 
@@ -355,11 +355,11 @@
             await asyncio.sleep(STOP_POLL_S)
         # The end of a replica that only this process saw would count for nothing.
         tell_until_s = min(end_s, loop.time() + STOP_TELL_S)
-        await self._wait_until(lambda: not self.crash_watch.has_untold, tell_until_s)
+        await self._wait_until(lambda: not self.crash_watch.has_pending_reports, tell_until_s)
         self._has_drained = True
         finished = not self._exchanges
         for exchange, task in list(self._exchanges.values()):
-            exchange.end_for_stop()
+            exchange.end_at_shutdown()
             task.cancel()
         await self._wait_until(lambda: not self._callers, loop.time() + STOP_FLUSH_S)
         event = Event.DRAIN_FINISHED if finished else Event.DRAIN_LIMIT
--- a/src/crowsill/gateway/wait_estimates.py
+++ b/src/crowsill/gateway/wait_estimates.py
@@ -82,7 +82,7 @@
 ) -> WaitEstimate:
     """When a replica may hold what the request needs."""
     accepting = [record for record in records if accepts(record)]
-    if any(record.instance.holds(request.model) for record in accepting):
+    if any(record.instance.serves(request.model) for record in accepting):
         # Only its adapter is missing.
         return _decaying_estimate(
             MEDIAN_ADAPTER_LOAD_S,
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -9,7 +9,7 @@
 from crowsill.control.announcer import AnnouncerPorts, GroupAnnouncer
 from crowsill.settings import Address
 from crowsill.state.commands import RecordControlAddress
-from crowsill.state.control_addresses import MOST_ADDRESSES
+from crowsill.state.control_addresses import MAX_CONTROL_ADDRESSES
 from crowsill.state.machine import StateMachine
 from crowsill.transport.group_contacts import MOST_REFERRED, GroupContacts
 from crowsill.transport.messages import Pong, Submitted
@@ -56,11 +56,11 @@
 
 def test_control_addresses_are_bounded_and_survive_a_snapshot():
     machine, other = StateMachine(), StateMachine()
-    for number in range(MOST_ADDRESSES + 3):
+    for number in range(MAX_CONTROL_ADDRESSES + 3):
         machine.apply(RecordControlAddress(f"10.0.0.1:{number}"))
     other.restore(machine.snapshot())
     assert other.control_addresses.addresses == machine.control_addresses.addresses
-    assert len(other.control_addresses.addresses) == MOST_ADDRESSES
+    assert len(other.control_addresses.addresses) == MAX_CONTROL_ADDRESSES
     assert other.digest() == machine.digest()
 
 
@@ -111,12 +111,12 @@
 def test_one_that_asks_is_recorded_and_not_visited_while_it_is_in_touch(monkeypatch):
     site = Site(monkeypatch, [])
     site.silent = site.seeds = []
-    site.announcer.note_asked("10.0.0.4:7")
+    site.announcer.note_request("10.0.0.4:7")
     site.run(0.1)
     members = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}
     assert set(site.machine.control_addresses.addresses) == {"10.0.0.4:7", *members}
     assert site.visited == []
-    monkeypatch.setattr(announcer_module, "IN_TOUCH_S", 0.0)
+    monkeypatch.setattr(announcer_module, "CONTACT_LIFETIME_S", 0.0)
     site.run(0.1)
     assert site.visited == [DISKLESS]
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -18,7 +18,7 @@
     wait_budget,
 )
 from crowsill.gateway.wait_estimates import LOADING_PROBABILITY, estimate_wait
-from crowsill.model.instances import ComingModel, Instance
+from crowsill.model.instances import Instance, LoadingModel
 from crowsill.model.routes import ModelWeights, Route, RouteKind
 
 SECONDS = st.floats(0.0, 30.0)
@@ -125,7 +125,7 @@
 
 
 def test_a_load_under_way_is_known_by_when_it_began():
-    record = engine(coming=[ComingModel("m", 2.0)])
+    record = engine(loading=[LoadingModel("m", 2.0)])
     record.note_loading_models(10.0)
     assert estimate([record], now_s=10.5) == WaitEstimate(1.5, LOADING_PROBABILITY, 1.5)
     # Later words on the same engine repeat it, and what is overdue may take as long again.
--- a/tests/test_proven_requests.py
+++ b/tests/test_proven_requests.py
@@ -27,14 +27,14 @@
     def start_gateway(self):
         """Start a gateway that remembers nothing, and is told all that is recorded."""
         gateway = Watched()
-        gateway.watch.adopt(self.machine.crashes.whole(), True)
+        gateway.watch.adopt(self.machine.crashes.full_change(), True)
         self.gateways.append(gateway)
         return gateway
 
     async def settle(self):
         """Wait until gateways have told what they saw, and apply it."""
         async with asyncio.timeout(LONGEST_SETTLING_S):
-            while any(gateway.watch.has_untold for gateway in self.gateways):
+            while any(gateway.watch.has_pending_reports for gateway in self.gateways):
                 await asyncio.sleep(0.01)
         for gateway in self.gateways:
             told, gateway.told = gateway.told, []
@@ -51,8 +51,8 @@
     port.end()
     instance = Instance(life, "s", f"{LOCAL}:{port.port}", "z", 8)
     for fingerprint in fingerprints:
-        gateway.watch.note_break(instance, suspect(fingerprint))
-    await gateway.watch.has_ended(life)
+        gateway.watch.note_broken_response(instance, suspect(fingerprint))
+    await gateway.watch.has_crashed(life)
     await group.settle()
     group.clock_s += 1.0
 
@@ -82,7 +82,7 @@
         await end_under(group, second, "i-5", CULPRIT)
         assert not second.guard.is_quarantined(CROWD)
         assert second.guard.is_quarantined(CULPRIT)
-        assert len(group.machine.crashes.find(CULPRIT).ends) >= CRASH_LIMIT
+        assert len(group.machine.crashes.find(CULPRIT).crashed_instances) >= CRASH_LIMIT
         await second.watch.stop()
 
     run(scenario())
