--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -1,9 +1,10 @@
-"""How a gateway follows the control group: routes, replicas, and what is current.
+"""Keeps a gateway up to date with the control group: routes, replicas and crash record.
 
-It holds one stream to a control member: one of its own site if there is one, since all that changes
-is pushed to each gateway and would cross between sites for each, else any. A heartbeat every
-`HEARTBEAT_S` carries what it has and the demand it saw. A member that cannot have the leader
-confirm what is current, or lacks what is confirmed, is left for another one at once.
+The gateway holds one stream to a control member. It prefers a member of its own zone, because every
+change is pushed to every gateway and would otherwise cross between zones once for each. A heartbeat
+every `HEARTBEAT_S` carries the gateway's versions and its demand; the reply confirms the versions
+that are current. If a member can't have them confirmed by the leader, or lacks them itself, the
+gateway switches to another member at once.
 """
 
 import asyncio
@@ -49,23 +50,25 @@
 HEARTBEAT_TIMEOUT_S = 0.8
 INITIAL_RETRY_S = 0.05
 MAX_RETRY_S = 0.2
-# Gateways that follow a member of another site move to their own within this time, each at a moment
-# of its own, so that hundreds of them do not come at once.
+# Gateways that follow a member of another zone switch to one of their own within this time, each
+# after a random delay, so that hundreds of them do not connect at once.
 ZONE_SWITCH_SPREAD_S = 2.0
-# A member of the own site that has failed is followed again after this time at the soonest.
+# Minimum delay before a failed member of the own zone is preferred again.
 ZONE_SWITCH_RETRY_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayHooks:
-    """What the gateway does when something changes.
+    """Callbacks of the gateway for changes.
 
     Attributes:
-        on_routes: A newer route configuration came.
-        on_directory: The directory changed; receives the ids that get no more work.
-        on_current: The group has proved what is current; receives the number of gateways, and the
-            clock (`clock.monotonic_s`) just before it was asked.
-        on_suspects: The crash record changed, or came whole.
+        on_routes: Receives a newer route configuration.
+        on_directory: Called when the directory changed; receives the ids of instances that get no
+            more work.
+        on_current: Called when the gateway has everything that the group confirmed as current;
+            receives the number of gateways and the time (`clock.monotonic_s`) just before the
+            heartbeat was sent.
+        on_suspects: Receives a change of the crash record, and whether it is the full record.
     """
 
     on_routes: Callable[[RouteDocument], None]
@@ -75,14 +78,15 @@
 
 
 class GatewayFollower:
-    """Keeps one gateway up to date.
+    """Follows one control member at a time.
 
     Attributes:
         registry: The replicas.
-        routes_version: Version of the newest routes taken in; it never falls.
+        routes_version: Version of the newest routes that were adopted; it never decreases.
         demand: Requests by resource since the last heartbeat.
-        urgent: Those of them that have a short target.
-        overloaded: Those whose first event took most of their target, or that found no place.
+        urgent: Those with a short target latency.
+        overloaded: Those whose first event took most of their target latency, or that found no
+            replica with capacity.
     """
 
     def __init__(
@@ -107,19 +111,19 @@
         self._random = random
         self._connection: Connection | None = None
         self._last_failed: Address | None = None
-        # Clock from which a member of the own site is preferred to the one that is followed.
+        # Monotonic time from which members of the own zone are preferred.
         self._prefer_own_zone_at_s = monotonic_s() + ZONE_SWITCH_SPREAD_S * random.random()
         self._is_switching_zone = False
-        # What the group confirmed as current, while not all of it has come.
+        # Versions that the group confirmed as current, until the gateway has received all of them.
         self._pending_freshness: Currency | None = None
         self._heartbeat_sent_at_s = 0.0
 
     def use_seeds(self, seeds: list[Address]) -> None:
-        """Use other seeds from now on."""
+        """Replace the seed addresses."""
         self._contacts.seeds = seeds
 
     def _targets(self) -> list[Address]:
-        """Known members, those of the own site first, then others; the last that failed is last."""
+        """Return known members: those of the own zone first, and the last that failed last."""
         targets = self._contacts.targets()
         if monotonic_s() >= self._prefer_own_zone_at_s:
             targets.sort(key=lambda address: not self._contacts.is_at(address, self._local.zone))
@@ -127,20 +131,20 @@
         return targets
 
     def _should_switch_zone(self, address: Address, now_s: float) -> bool:
-        """Whether a member of the own site is to be followed in place of the present one."""
+        """Whether to switch from this member to one of the own zone."""
         zone = self._local.zone
         if now_s < self._prefer_own_zone_at_s or self._contacts.is_at(address, zone):
             return False
         return any(self._contacts.is_at(member, zone) for member in self._contacts.members)
 
     async def run(self) -> None:
-        """Follow for as long as the gateway runs."""
+        """Follow members one after the other, until cancelled."""
         delay_s = INITIAL_RETRY_S
         while True:
             for address in self._targets():
-                is_proved = await self._follow(address)
+                was_confirmed = await self._follow(address)
                 self._last_failed = address
-                if is_proved:
+                if was_confirmed:
                     delay_s = INITIAL_RETRY_S
                     break
             else:
@@ -152,7 +156,7 @@
             delay_s = min(MAX_RETRY_S, delay_s * 1.5)
 
     async def _follow(self, address: Address) -> bool:
-        """Follow one member until it fails; return whether it ever proved anything."""
+        """Follow one member until it fails; return whether it ever confirmed anything."""
         try:
             connection = await open_connection(
                 address.host, address.port, self._local, on_push=self._on_push
@@ -161,36 +165,36 @@
             self._note_member_failed(address)
             return False
         reader = asyncio.create_task(connection.run())
-        has_proved = False
+        was_confirmed = False
         try:
             while not connection.is_closed and await self._heartbeat(connection):
-                if not has_proved:
+                if not was_confirmed:
                     log_event(Event.PEER_CONNECTED, member=connection.peer.node)
-                has_proved = True
+                was_confirmed = True
                 self._contacts.found()
                 self._connection = connection
                 if self._should_switch_zone(address, monotonic_s()):
                     self._is_switching_zone = True
-                    return has_proved
+                    return was_confirmed
                 await asyncio.wait([reader], timeout=HEARTBEAT_S)
             self._note_member_failed(address)
-            return has_proved
+            return was_confirmed
         finally:
-            if has_proved:
+            if was_confirmed:
                 log_event(Event.PEER_LOST, member=connection.peer.node)
             self.note_disconnected()
             connection.close()
             await asyncio.wait([reader])
 
     def _note_member_failed(self, address: Address) -> None:
-        """A member could not be followed: one of the own site is left alone for a while."""
+        """Stop preferring the own zone for a while if one of its members failed."""
         if self._contacts.is_at(address, self._local.zone):
             self._prefer_own_zone_at_s = monotonic_s() + ZONE_SWITCH_RETRY_S * (
                 1.0 + self._random.random()
             )
 
     def note_disconnected(self) -> None:
-        """The stream has ended: what was confirmed on it counts no more."""
+        """Discard what was confirmed on a stream that has ended."""
         self._connection = None
         self._pending_freshness = None
 
@@ -223,11 +227,11 @@
         except ConnectionLostError:
             reply = None
         if isinstance(reply, NotLeader):
-            # Hearsay: a process that was restarted without a memory may know the group by it alone.
+            # Unverified addresses: a process that restarted without state may have no others.
             referred = [*([] if reply.leader is None else [reply.leader]), *reply.members]
             self._contacts.refer([parse_address(member) for member in referred])
         if not isinstance(reply, Currency):
-            # What was counted is dropped: kept, it would arrive later as if it had come at once.
+            # The counts are dropped. Sent later, they would look like a burst of requests.
             return False
         self.registry.note_limit_reports(reply.limits, monotonic_s())
         if reply.in_use is not None:
@@ -236,8 +240,8 @@
             members = [parse_address(member) for member in reply.members]
             self._contacts.learn(members, reply.member_zones)
         if self._pending_freshness is not None:
-            # A stream keeps its order, so that what one reply confirmed has come before the next
-            # reply, however slow the link is. What has not come will not: ask another member.
+            # A stream is ordered: what one reply confirmed is pushed before the next reply, however
+            # slow the link is. What is still missing will not arrive; follow another member.
             self._log_pending_freshness(connection, self._pending_freshness)
             return False
         self._pending_freshness = reply
@@ -246,7 +250,7 @@
         return True
 
     def _log_pending_freshness(self, connection: Connection, freshness: Currency) -> None:
-        """Log that what one heartbeat confirmed had not come by the next one."""
+        """Log that versions confirmed by one heartbeat were still missing at the next one."""
         log_event(
             Event.ROUTES_AWAITED,
             member=connection.peer.node,
@@ -257,7 +261,7 @@
         )
 
     def _report_if_current(self) -> None:
-        """Say so once everything that the group confirmed last has come."""
+        """Call `on_current` if the gateway has everything that the group confirmed last."""
         freshness = self._pending_freshness
         if freshness is None or self.routes_version < freshness.routes_version:
             return
@@ -271,21 +275,26 @@
     def send_notice(
         self, notice: DemandNotice | SuspectInstances | LeavingInstances | ReplicaLimitsNotice
     ) -> bool:
-        """Tell the group at once what was seen; return whether it could be sent."""
+        """Send a notice to the group without waiting; return whether it could be sent."""
         connection = self._connection
         return connection is not None and connection.push(notice)
 
     async def query(
         self,
-        question: GrantRequest | ReplicaGrantRequest | ReportCrash | ClearRequests,
+        message: GrantRequest | ReplicaGrantRequest | ReportCrash | ClearRequests,
         timeout_s: float,
     ) -> Body | None:
-        """Ask the group through the member that is followed; None when no reply came."""
+        """Send a request to the group; return the reply, or None if there was none.
+
+        Args:
+            message: The request.
+            timeout_s: How long to wait for the reply.
+        """
         connection = self._connection
         if connection is None:
             return None
         try:
-            return await connection.request(question, timeout_s)
+            return await connection.request(message, timeout_s)
         except ConnectionLostError:
             return None
 
@@ -294,9 +303,9 @@
             self.routes_version = body.document.version
             self._hooks.on_routes(body.document)
         elif isinstance(body, DirectoryUpdate):
-            # The clock of a daemon's event loop, by which requests are timed.
-            ended = self.registry.adopt(body.change, body.whole, monotonic_s())
-            self._hooks.on_directory(ended)
+            # Same clock as the event loop's, which times requests.
+            dropped_ids = self.registry.adopt(body.change, body.whole, monotonic_s())
+            self._hooks.on_directory(dropped_ids)
         elif isinstance(body, SuspectsUpdate):
             self._hooks.on_suspects(body.change, body.whole)
         self._report_if_current()
