--- a/src/crowsill/consensus/core.py
+++ b/src/crowsill/consensus/core.py
@@ -26,9 +26,9 @@
         commit_index: Highest index known to be committed.
         role: Current role.
         leader_id: The leader of the current term, if known.
-        last_leader_contact_s: Clock when a current leader was last heard.
-        starts_anew: Whether it has neither led nor heard a leader since it started.
-        election_deadline_s: Clock when this member campaigns unless it hears a leader.
+        last_leader_contact_at_s: Clock when a current leader was last heard.
+        no_leader_since_start: Whether it has neither led nor heard a leader since it started.
+        election_deadline_at_s: Clock when this member campaigns unless it hears a leader.
     """
 
     def __init__(self, setup: MemberSetup) -> None:
@@ -44,14 +44,14 @@
         self.leader_id: str | None = None
         # A member that restarts may have acknowledged a heartbeat just before: it must not
         # help to elect another leader while that heartbeat still holds up a lease.
-        self.last_leader_contact_s = setup.now_s
-        self.starts_anew = True
+        self.last_leader_contact_at_s = setup.now_s
+        self.no_leader_since_start = True
         self.ready = Ready()
         self.committed_membership = setup.membership
         self.membership = setup.membership
         self.membership_index = setup.log.snapshot_index
         self._recover_membership()
-        self.election_deadline_s = 0.0
+        self.election_deadline_at_s = 0.0
         self.reset_election_deadline(setup.now_s)
 
     @property
@@ -71,8 +71,12 @@
         is none.
         """
         config = self.config
-        timeout_s = config.first_campaign_s if self.starts_anew else config.election_timeout_s
-        self.election_deadline_s = now_s + timeout_s * (1.0 + self.random.random())
+        timeout_s = (
+            config.initial_election_timeout_s
+            if self.no_leader_since_start
+            else config.election_timeout_s
+        )
+        self.election_deadline_at_s = now_s + timeout_s * (1.0 + self.random.random())
 
     def send(self, target: str, message: Message, after_sync: bool = False) -> None:
         """Queue a message.
@@ -102,7 +106,7 @@
     def become_follower(self, term: int, leader_id: str | None, now_s: float) -> None:
         """Follow, in `term`, the leader if it is known."""
         if leader_id is not None:
-            self.starts_anew = False
+            self.no_leader_since_start = False
         if term > self.term:
             self.set_hard_state(HardState(term, None))
         self.role = Role.FOLLOWER
--- a/src/crowsill/consensus/election.py
+++ b/src/crowsill/consensus/election.py
@@ -12,7 +12,7 @@
         self._core = core
         self._votes: dict[str, bool] = {}
         # Voters that have restarted and heard no leader since, as they told in this campaign.
-        self._anew: set[str] = set()
+        self._restarted_voters: set[str] = set()
         self._transfer = False
 
     def campaign(self, now_s: float, transfer: bool = False) -> bool:
@@ -32,8 +32,8 @@
         core.role = Role.PRE_CANDIDATE
         core.leader_id = None
         core.reset_election_deadline(now_s)
-        self._anew = {core.member_id} if core.starts_anew else set()
-        return self._ask(core.term + 1, pre_vote=True, now_s=now_s)
+        self._restarted_voters = {core.member_id} if core.no_leader_since_start else set()
+        return self._request_votes(core.term + 1, pre_vote=True, now_s=now_s)
 
     def _start_vote(self, now_s: float) -> bool:
         core = self._core
@@ -41,9 +41,9 @@
         core.leader_id = None
         core.set_hard_state(HardState(core.term + 1, core.member_id))
         core.reset_election_deadline(now_s)
-        return self._ask(core.term, pre_vote=False, now_s=now_s)
+        return self._request_votes(core.term, pre_vote=False, now_s=now_s)
 
-    def _ask(self, term: int, pre_vote: bool, now_s: float) -> bool:
+    def _request_votes(self, term: int, pre_vote: bool, now_s: float) -> bool:
         core = self._core
         self._votes = {core.member_id: True}
         last_index, last_term = core.log.last_index, core.log.last_term
@@ -58,7 +58,7 @@
         core = self._core
         voters = core.membership.voters
         granted = sum(1 for voter in voters if self._votes.get(voter, False))
-        if core.role is Role.PRE_CANDIDATE and self._all_start_anew():
+        if core.role is Role.PRE_CANDIDATE and self._all_restarted():
             # A leader and its lease end with its process: where every voter has restarted, none
             # is left that a new one could take it from.
             self._transfer = True
@@ -69,8 +69,10 @@
             return self._start_vote(now_s)
         return True
 
-    def _all_start_anew(self) -> bool:
-        return self._core.starts_anew and self._anew.issuperset(self._core.membership.voters)
+    def _all_restarted(self) -> bool:
+        return self._core.no_leader_since_start and self._restarted_voters.issuperset(
+            self._core.membership.voters
+        )
 
     def on_response(self, now_s: float, source: str, response: VoteResponse) -> bool:
         """Count a vote; return True when the election is won."""
@@ -82,8 +84,8 @@
         if not expected:
             return False
         self._votes[source] = response.granted
-        if response.pre_vote and response.starts_anew:
-            self._anew.add(source)
+        if response.pre_vote and response.no_leader_since_start:
+            self._restarted_voters.add(source)
         return self._count(now_s)
 
     def on_request(self, now_s: float, source: str, request: VoteRequest) -> None:
@@ -91,21 +93,23 @@
         core = self._core
         # A member that hears a live leader refuses, so that a lease cannot be cut short and a
         # member that returns from behind a partition disturbs nobody.
-        heard_s = now_s - core.last_leader_contact_s
+        heard_s = now_s - core.last_leader_contact_at_s
         leader_is_live = heard_s < core.config.election_timeout_s
         if leader_is_live and not request.transfer:
-            anew = request.pre_vote and core.starts_anew and self._could_win(request)
+            anew = request.pre_vote and core.no_leader_since_start and self._could_win(request)
             core.send(
                 source,
-                VoteResponse(self._answered_term(request, anew), False, request.pre_vote, anew),
+                VoteResponse(self._response_term(request, anew), False, request.pre_vote, anew),
             )
             return
         if request.term > core.term and not request.pre_vote:
             core.become_follower(request.term, None, now_s)
         if request.pre_vote:
             granted = self._could_win(request)
-            term = self._answered_term(request, granted)
-            core.send(source, VoteResponse(term, granted, True, granted and core.starts_anew))
+            term = self._response_term(request, granted)
+            core.send(
+                source, VoteResponse(term, granted, True, granted and core.no_leader_since_start)
+            )
             return
         up_to_date = core.log.is_up_to_date(request.last_index, request.last_term)
         free = core.hard_state.voted_for in (None, source)
@@ -121,5 +125,5 @@
         up_to_date = core.log.is_up_to_date(request.last_index, request.last_term)
         return request.term > core.term and up_to_date
 
-    def _answered_term(self, request: VoteRequest, is_favourable: bool) -> int:
+    def _response_term(self, request: VoteRequest, is_favourable: bool) -> int:
         return request.term if is_favourable else self._core.term
--- a/src/crowsill/consensus/follower.py
+++ b/src/crowsill/consensus/follower.py
@@ -24,16 +24,16 @@
         """Append the leader's entries and answer."""
         core = self._core
         if request.term < core.term:
-            core.send(source, AppendResponse(core.term, False, 0, request.sent_s))
+            core.send(source, AppendResponse(core.term, False, 0, request.sent_at_s))
             return
         self._accept_leader(now_s, source, request.term)
         previous = request.previous_index
         if previous < core.log.snapshot_index:
             # All of this is committed here already.
-            self._answer(source, True, core.commit_index, request.sent_s)
+            self._respond(source, True, core.commit_index, request.sent_at_s)
             return
         if not core.log.matches(previous, request.previous_term):
-            self._answer(source, False, self._hint(previous), request.sent_s)
+            self._respond(source, False, self._hint(previous), request.sent_at_s)
             return
         for entry in request.entries:
             if core.log.matches(entry.index, entry.term):
@@ -43,14 +43,14 @@
             core.append_entry(entry)
         last_new = previous + len(request.entries)
         core.commit_to(min(request.commit_index, last_new))
-        self._answer(source, True, last_new, request.sent_s)
+        self._respond(source, True, last_new, request.sent_at_s)
 
     def _accept_leader(self, now_s: float, source: str, term: int) -> None:
         core = self._core
         require(core.role is not Role.LEADER or term > core.term, "one leader a term")
         core.become_follower(term, source, now_s)
-        core.last_leader_contact_s = now_s
-        core.starts_anew = False
+        core.last_leader_contact_at_s = now_s
+        core.no_leader_since_start = False
 
     def _hint(self, previous: int) -> int:
         """The last index before `previous` that may match: skip the conflicting term."""
@@ -61,19 +61,19 @@
             index -= 1
         return index
 
-    def _answer(self, source: str, accepted: bool, index: int, sent_s: float) -> None:
-        response = AppendResponse(self._core.term, accepted, index, sent_s)
+    def _respond(self, source: str, accepted: bool, index: int, sent_at_s: float) -> None:
+        response = AppendResponse(self._core.term, accepted, index, sent_at_s)
         self._core.send(source, response, after_sync=True)
 
     def on_snapshot_chunk(self, now_s: float, source: str, chunk: SnapshotChunk) -> None:
         """Collect a snapshot and install it once whole."""
         core = self._core
         if chunk.term < core.term:
-            core.send(source, AppendResponse(core.term, False, 0, chunk.sent_s))
+            core.send(source, AppendResponse(core.term, False, 0, chunk.sent_at_s))
             return
         self._accept_leader(now_s, source, chunk.term)
         if chunk.index <= core.commit_index:
-            self._answer(source, True, core.commit_index, chunk.sent_s)
+            self._respond(source, True, core.commit_index, chunk.sent_at_s)
             return
         if (source, chunk.index) != (self._snapshot_source, self._snapshot_index):
             self._snapshot_source = source
@@ -83,10 +83,10 @@
             self._snapshot_parts += chunk.data
             if chunk.last:
                 self._install(chunk)
-                self._answer(source, True, chunk.index, chunk.sent_s)
+                self._respond(source, True, chunk.index, chunk.sent_at_s)
                 return
         received = len(self._snapshot_parts)
-        response = SnapshotChunkResponse(core.term, chunk.index, received, chunk.sent_s)
+        response = SnapshotChunkResponse(core.term, chunk.index, received, chunk.sent_at_s)
         core.send(source, response)
 
     def _install(self, chunk: SnapshotChunk) -> None:
--- a/src/crowsill/consensus/leader.py
+++ b/src/crowsill/consensus/leader.py
@@ -24,19 +24,19 @@
     """The state of one term's leadership; a new object is made for each term led.
 
     Attributes:
-        started_s: Clock when this leadership began.
+        started_at_s: Clock when this leadership began.
         first_index: First entry of this term; what earlier leaders acknowledged stands before it.
         transfer_target: Member that leadership is being handed to, or None.
     """
 
     def __init__(self, core: RaftCore, now_s: float, snapshot_provider: SnapshotProvider) -> None:
         self._core = core
-        self.started_s = now_s
+        self.started_at_s = now_s
         self._snapshot_provider = snapshot_provider
         self._progress: dict[str, Progress] = {}
         self.first_index = core.log.last_index + 1
         self.transfer_target: str | None = None
-        self._transfer_deadline_s = 0.0
+        self._transfer_deadline_at_s = 0.0
         self._follow_membership()
         self.propose(now_s, EntryKind.NO_OP, b"")
 
@@ -46,7 +46,7 @@
         return self._progress
 
     @property
-    def is_settled(self) -> bool:
+    def is_established(self) -> bool:
         """Whether an entry of this term is committed, so that all older ones are known."""
         return self._core.commit_index >= self.first_index
 
@@ -58,14 +58,14 @@
         if kind is EntryKind.MEMBERSHIP:
             self._follow_membership()
         for target in self._progress:
-            self._feed(now_s, target)
+            self._send_entries(now_s, target)
         return entry.index
 
     def propose_membership(self, now_s: float, membership: Membership) -> int | None:
         """Propose a membership; None while another is not committed or this term unsettled."""
         core = self._core
         pending = core.membership_index > core.commit_index
-        if pending or not self.is_settled:
+        if pending or not self.is_established:
             return None
         require(
             core.membership.differs_by_one_voter(membership), "membership changes one at a time"
@@ -85,11 +85,11 @@
         """Send heartbeats and repeat what was lost."""
         config = self._core.config
         for target, progress in self._progress.items():
-            silence_s = now_s - max(progress.last_heard_s, self.started_s)
+            silence_s = now_s - max(progress.last_response_at_s, self.started_at_s)
             if silence_s > config.election_timeout_s and progress.in_flight:
-                progress.probe_again()
-            last_sent_s = progress.last_sent_s
-            if last_sent_s is None or now_s - last_sent_s >= config.heartbeat_s:
+                progress.return_to_probing()
+            last_sent_at_s = progress.last_sent_at_s
+            if last_sent_at_s is None or now_s - last_sent_at_s >= config.heartbeat_s:
                 self._send(now_s, target, heartbeat=True)
 
     def announce_commit(self, now_s: float) -> None:
@@ -97,15 +97,15 @@
         for target in self._progress:
             self._send(now_s, target, heartbeat=True)
 
-    def hand_over_failed(self, now_s: float) -> bool:
+    def transfer_failed(self, now_s: float) -> bool:
         """Whether a hand-over passed its deadline, so that this member must step down.
 
         The order to campaign may still arrive late and override this leader's lease, so a
         leader that has given it never answers from its lease again in this term.
         """
-        return self.transfer_target is not None and now_s > self._transfer_deadline_s
+        return self.transfer_target is not None and now_s > self._transfer_deadline_at_s
 
-    def lease_expires_s(self) -> float:
+    def lease_expires_at_s(self) -> float:
         """Clock until which no other member can have been elected."""
         core = self._core
         times: list[float] = []
@@ -113,28 +113,28 @@
             if voter == core.member_id:
                 times.append(float("inf"))
             else:
-                times.append(self._progress[voter].acknowledged_sent_s)
+                times.append(self._progress[voter].acknowledged_sent_at_s)
         times.sort(reverse=True)
         confirmed_s = times[core.membership.quorum - 1]
         return confirmed_s + core.config.lease_s
 
     def has_lease(self, now_s: float) -> bool:
         """Whether this member is provably the only leader right now."""
-        return self.transfer_target is None and now_s < self.lease_expires_s()
+        return self.transfer_target is None and now_s < self.lease_expires_at_s()
 
-    def hears_quorum(self, now_s: float) -> bool:
+    def has_quorum_contact(self, now_s: float) -> bool:
         """Whether a majority answered within an election timeout (check-quorum)."""
         core = self._core
         horizon_s = now_s - core.config.election_timeout_s
-        if self.started_s > horizon_s:
+        if self.started_at_s > horizon_s:
             return True
         heard = 0
         for voter in core.membership.voters:
-            if voter == core.member_id or self._progress[voter].last_heard_s > horizon_s:
+            if voter == core.member_id or self._progress[voter].last_response_at_s > horizon_s:
                 heard += 1
         return heard >= core.membership.quorum
 
-    def _feed(self, now_s: float, target: str) -> None:
+    def _send_entries(self, now_s: float, target: str) -> None:
         """Send entries as long as the window is open."""
         progress = self._progress[target]
         log = self._core.log
@@ -166,7 +166,7 @@
             core.term, previous, previous_term, entries, core.commit_index, now_s
         )
         core.send(target, request)
-        progress.last_sent_s = now_s
+        progress.last_sent_at_s = now_s
         if entries or not heartbeat:
             progress.in_flight += 1
         if entries and not probing:
@@ -194,29 +194,29 @@
             offset=offset,
             data=data,
             last=end >= len(snapshot.data),
-            sent_s=now_s,
+            sent_at_s=now_s,
         )
         self._core.send(target, chunk)
-        progress.last_sent_s = now_s
+        progress.last_sent_at_s = now_s
 
-    def _heard(self, now_s: float, source: str, sent_s: float) -> Progress | None:
+    def _note_response(self, now_s: float, source: str, sent_at_s: float) -> Progress | None:
         progress = self._progress.get(source)
         if progress is None:
             return None
-        progress.last_heard_s = now_s
-        progress.acknowledged_sent_s = max(progress.acknowledged_sent_s, sent_s)
+        progress.last_response_at_s = now_s
+        progress.acknowledged_sent_at_s = max(progress.acknowledged_sent_at_s, sent_at_s)
         return progress
 
     def on_append_response(self, now_s: float, source: str, response: AppendResponse) -> None:
         """Advance or correct a follower's progress."""
-        progress = self._heard(now_s, source, response.sent_s)
+        progress = self._note_response(now_s, source, response.sent_at_s)
         if progress is None:
             return
         if not response.accepted:
             if response.match_index < progress.match_index:
                 return  # A reordered, older refusal.
             progress.reject(response.match_index)
-            self._feed(now_s, source)
+            self._send_entries(now_s, source)
             return
         if progress.mode is ReplicationMode.SNAPSHOT:
             self._finish_snapshot(progress, response.match_index)
@@ -224,7 +224,7 @@
         if advanced:
             self.advance_commit()
             self._continue_transfer(source)
-        self._feed(now_s, source)
+        self._send_entries(now_s, source)
 
     def _finish_snapshot(self, progress: Progress, match_index: int) -> None:
         snapshot = progress.snapshot
@@ -238,7 +238,7 @@
         self, now_s: float, source: str, response: SnapshotChunkResponse
     ) -> None:
         """Send the next chunk of a snapshot."""
-        progress = self._heard(now_s, source, response.sent_s)
+        progress = self._note_response(now_s, source, response.sent_at_s)
         if progress is None or progress.snapshot is None:
             return
         if response.index != progress.snapshot.index:
@@ -267,7 +267,7 @@
         if target == core.member_id or target not in core.membership.voters:
             return False
         self.transfer_target = target
-        self._transfer_deadline_s = now_s + core.config.election_timeout_s
+        self._transfer_deadline_at_s = now_s + core.config.election_timeout_s
         self._continue_transfer(target)
         return True
 
--- a/src/crowsill/consensus/messages.py
+++ b/src/crowsill/consensus/messages.py
@@ -59,14 +59,14 @@
         term: The requested term when granted, else the voter's.
         granted: Whether the vote was given.
         pre_vote: Whether only the chance to win was asked for.
-        starts_anew: The voter refused only because it restarted a moment ago, and may have answered
-            a leader's heartbeat just before.
+        no_leader_since_start: The voter refused only because it restarted a moment ago, and may
+            have answered a leader's heartbeat just before.
     """
 
     term: int
     granted: bool
     pre_vote: bool
-    starts_anew: bool = False
+    no_leader_since_start: bool = False
 
 
 class AppendRequest(msgspec.Struct, frozen=True, array_like=True, tag="append"):
@@ -78,7 +78,7 @@
         previous_term: Term of that entry.
         entries: Entries in order, without gaps.
         commit_index: The leader's commit index.
-        sent_s: The leader's clock at sending; echoed, it renews the lease.
+        sent_at_s: The leader's clock at sending; echoed, it renews the lease.
     """
 
     term: int
@@ -86,7 +86,7 @@
     previous_term: int
     entries: list[LogEntry]
     commit_index: int
-    sent_s: float
+    sent_at_s: float
 
 
 class AppendResponse(msgspec.Struct, frozen=True, array_like=True, tag="append-response"):
@@ -97,13 +97,13 @@
         accepted: Whether the previous entry matched.
         match_index: When accepted, the last index known equal to the leader's; otherwise a hint
             for the next try.
-        sent_s: Copied from the request.
+        sent_at_s: Copied from the request.
     """
 
     term: int
     accepted: bool
     match_index: int
-    sent_s: float
+    sent_at_s: float
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="snapshot"):
@@ -117,7 +117,7 @@
         offset: Position of `data` in the snapshot, in bytes.
         data: The part.
         last: Whether this is the final part.
-        sent_s: The leader's clock at sending.
+        sent_at_s: The leader's clock at sending.
     """
 
     term: int
@@ -127,7 +127,7 @@
     offset: int
     data: bytes
     last: bool
-    sent_s: float
+    sent_at_s: float
 
 
 class SnapshotChunkResponse(msgspec.Struct, frozen=True, array_like=True, tag="snapshot-response"):
@@ -137,13 +137,13 @@
         term: The follower's term.
         index: The snapshot's index.
         next_offset: First byte it lacks.
-        sent_s: Copied from the chunk.
+        sent_at_s: Copied from the chunk.
     """
 
     term: int
     index: int
     next_offset: int
-    sent_s: float
+    sent_at_s: float
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="timeout-now"):
--- a/src/crowsill/consensus/node.py
+++ b/src/crowsill/consensus/node.py
@@ -1,6 +1,6 @@
 """The consensus core of one member: a pure state machine behind a small interface.
 
-The driver calls `tick`, `step`, `propose` and `synced`, and after each call carries out what
+The driver calls `tick`, `step`, `propose` and `mark_synced`, and after each call carries out what
 `take_ready` returns. Time comes in as seconds of the member's monotonic clock.
 """
 
@@ -61,9 +61,9 @@
         return self._core.leader_id
 
     @property
-    def last_leader_contact_s(self) -> float:
+    def last_leader_contact_at_s(self) -> float:
         """Clock when a current leader was last heard."""
-        return self._core.last_leader_contact_s
+        return self._core.last_leader_contact_at_s
 
     @property
     def commit_index(self) -> int:
@@ -96,36 +96,36 @@
         return self._leader
 
     @property
-    def is_settled_leader(self) -> bool:
+    def is_established_leader(self) -> bool:
         """Whether this member leads and knows everything that was ever committed."""
-        return self._leader is not None and self._leader.is_settled
+        return self._leader is not None and self._leader.is_established
 
     def has_lease(self, now_s: float) -> bool:
         """Whether this member leads, is settled and provably the only leader right now."""
         leader = self._leader
-        return leader is not None and leader.is_settled and leader.has_lease(now_s)
+        return leader is not None and leader.is_established and leader.has_lease(now_s)
 
     def tick(self, now_s: float) -> None:
         """Let time pass; call at a small fraction of the heartbeat interval."""
         core = self._core
         if self._leader is not None:
             self._leader.tick(now_s)
-            if not self._leader.hears_quorum(now_s) or self._leader.hand_over_failed(now_s):
+            if not self._leader.has_quorum_contact(now_s) or self._leader.transfer_failed(now_s):
                 self._step_down(core.term, None, now_s)
             return
-        if core.is_voter and now_s >= core.election_deadline_s:
-            self._lead_if(self._election.campaign(now_s), now_s)
+        if core.is_voter and now_s >= core.election_deadline_at_s:
+            self._become_leader_if_won(self._election.campaign(now_s), now_s)
 
     def _step_down(self, term: int, leader_id: str | None, now_s: float) -> None:
         self._leader = None
         self._core.become_follower(term, leader_id, now_s)
 
-    def _lead_if(self, won: bool, now_s: float) -> None:
+    def _become_leader_if_won(self, won: bool, now_s: float) -> None:
         if not won:
             return
         core = self._core
         core.role = Role.LEADER
-        core.starts_anew = False
+        core.no_leader_since_start = False
         core.leader_id = core.member_id
         self._leader = Leader(core, now_s, self._snapshot_provider)
 
@@ -160,11 +160,11 @@
             return
         if isinstance(message, AppendResponse):
             leader.on_append_response(now_s, source, message)
-            self._leave_if_removed(now_s)
+            self._step_down_if_removed(now_s)
         else:
             leader.on_snapshot_response(now_s, source, message)
 
-    def _leave_if_removed(self, now_s: float) -> None:
+    def _step_down_if_removed(self, now_s: float) -> None:
         """A leader that is no voter any more leads until that change is committed."""
         core = self._core
         committed = core.membership_index <= core.commit_index
@@ -182,16 +182,16 @@
 
     def _on_vote_response(self, now_s: float, source: str, response: VoteResponse) -> None:
         core = self._core
-        favourable = response.pre_vote and (response.granted or response.starts_anew)
+        favourable = response.pre_vote and (response.granted or response.no_leader_since_start)
         if response.term > core.term and not favourable:
             self._step_down(response.term, None, now_s)
             return
-        self._lead_if(self._election.on_response(now_s, source, response), now_s)
+        self._become_leader_if_won(self._election.on_response(now_s, source, response), now_s)
 
     def _on_timeout_now(self, now_s: float, message: TimeoutNow) -> None:
         core = self._core
         if message.term == core.term and core.is_voter and core.role is Role.FOLLOWER:
-            self._lead_if(self._election.campaign(now_s, transfer=True), now_s)
+            self._become_leader_if_won(self._election.campaign(now_s, transfer=True), now_s)
 
     def propose(self, now_s: float, data: bytes) -> int | None:
         """Propose a command; return its index, or None when this member cannot lead it."""
@@ -214,7 +214,7 @@
         target = leader.best_successor()
         return target is not None and leader.transfer(now_s, target)
 
-    def synced(self, index: int, term: int) -> None:
+    def mark_synced(self, index: int, term: int) -> None:
         """Learn that the own log is durable up to the entry `index` of `term`."""
         core = self._core
         if core.log.term_at(index) != term or index <= core.synced_index:
--- a/src/crowsill/consensus/progress.py
+++ b/src/crowsill/consensus/progress.py
@@ -23,9 +23,9 @@
         match_index: Last entry known to be durable there.
         mode: Probe one request at a time until the logs match, then pipeline.
         in_flight: Requests sent and not yet answered.
-        last_sent_s: Clock of the last request; None before the first.
-        acknowledged_sent_s: Sending time of the newest request it has answered.
-        last_heard_s: Clock of its last answer.
+        last_sent_at_s: Clock of the last request; None before the first.
+        acknowledged_sent_at_s: Sending time of the newest request it has answered.
+        last_response_at_s: Clock of its last answer.
         snapshot: The snapshot being sent.
         snapshot_offset: First byte of it that is not yet acknowledged.
     """
@@ -34,9 +34,9 @@
     match_index: int = 0
     mode: ReplicationMode = ReplicationMode.PROBE
     in_flight: int = 0
-    last_sent_s: float | None = None
-    acknowledged_sent_s: float = float("-inf")
-    last_heard_s: float = float("-inf")
+    last_sent_at_s: float | None = None
+    acknowledged_sent_at_s: float = float("-inf")
+    last_response_at_s: float = float("-inf")
     snapshot: Snapshot | None = None
     snapshot_offset: int = 0
 
@@ -58,7 +58,7 @@
         self.in_flight = 0
         self.next_index = max(self.match_index + 1, min(self.next_index - 1, hint + 1))
 
-    def probe_again(self) -> None:
+    def return_to_probing(self) -> None:
         """Forget what is in flight after silence; lost requests are sent again."""
         if self.mode is ReplicationMode.SNAPSHOT:
             return
--- a/src/crowsill/consensus/replacement.py
+++ b/src/crowsill/consensus/replacement.py
@@ -34,13 +34,13 @@
     """Summarise what a leading member knows; empty for one that does not lead."""
     leader = node.leader
     progress = {} if leader is None else leader.progress
-    started_s = float("-inf") if leader is None else leader.started_s
+    started_at_s = float("-inf") if leader is None else leader.started_at_s
     behind = {
         member_id: max(0, node.commit_index - item.match_index)
         for member_id, item in progress.items()
     }
     silent_s = {
-        member_id: max(0.0, now_s - max(item.last_heard_s, started_s))
+        member_id: max(0.0, now_s - max(item.last_response_at_s, started_at_s))
         for member_id, item in progress.items()
     }
     return GroupHealth(behind, silent_s, node.membership_is_committed)
@@ -79,9 +79,9 @@
     if not health.membership_committed:
         return None
     if repair is not None:
-        return _repaired(membership, health, alive_within_s, repair)
+        return _next_repair(membership, health, alive_within_s, repair)
     for member in membership.members:
-        if member.voter or not _caught_up(member, health, alive_within_s):
+        if member.voter or not _has_caught_up(member, health, alive_within_s):
             continue
         if member.replaces in membership.voters:
             return membership.without_member(member.replaces)
@@ -90,13 +90,13 @@
     return None
 
 
-def _repaired(
+def _next_repair(
     membership: Membership, health: GroupHealth, alive_within_s: float, repair: SelfRepair
 ) -> Membership | None:
     ready = [
         member
         for member in membership.members
-        if not member.voter and _caught_up(member, health, alive_within_s)
+        if not member.voter and _has_caught_up(member, health, alive_within_s)
     ]
     # First of all the machine that came back with an empty disk: its former self is gone for good.
     for member in ready:
@@ -106,26 +106,28 @@
         promoted = msgspec.structs.replace(ready[0], voter=True, replaces="")
         return membership.with_member(promoted)
     if ready:
-        dead = _longest_silent(membership.voters, health, repair.dead_after_s)
+        dead = _longest_unresponsive(membership.voters, health, repair.dead_after_s)
         if dead is not None:
             return membership.without_member(dead)
     learners = [member.member_id for member in membership.members if not member.voter]
-    forgotten = _longest_silent(learners, health, repair.forget_after_s)
+    forgotten = _longest_unresponsive(learners, health, repair.forget_after_s)
     return None if forgotten is None else membership.without_member(forgotten)
 
 
-def _longest_silent(member_ids: list[str], health: GroupHealth, beyond_s: float) -> str | None:
+def _longest_unresponsive(
+    member_ids: list[str], health: GroupHealth, beyond_s: float
+) -> str | None:
     silent = [item for item in member_ids if health.silent_s.get(item, 0.0) > beyond_s]
     return max(silent, key=lambda item: health.silent_s[item], default=None)
 
 
-def _caught_up(member: Member, health: GroupHealth, alive_within_s: float) -> bool:
+def _has_caught_up(member: Member, health: GroupHealth, alive_within_s: float) -> bool:
     behind = health.behind.get(member.member_id, 1)
     silent_s = health.silent_s.get(member.member_id, float("inf"))
     return behind == 0 and silent_s <= alive_within_s
 
 
-def is_whole(
+def is_fully_replicated(
     membership: Membership, leader_id: str, health: GroupHealth, alive_within_s: float
 ) -> bool:
     """Whether all members vote, are there, and durably hold everything committed."""
@@ -134,12 +136,14 @@
     for member in membership.members:
         if member.member_id == leader_id:
             continue
-        if not member.voter or not _caught_up(member, health, alive_within_s):
+        if not member.voter or not _has_caught_up(member, health, alive_within_s):
             return False
     return True
 
 
-def risk(membership: Membership, leader_id: str, health: GroupHealth, alive_within_s: float) -> str:
+def describe_risk(
+    membership: Membership, leader_id: str, health: GroupHealth, alive_within_s: float
+) -> str:
     """Say what the loss of further voters would mean.
 
     Returns:
--- a/src/crowsill/consensus/types.py
+++ b/src/crowsill/consensus/types.py
@@ -34,8 +34,8 @@
     Attributes:
         election_timeout_s: Shortest time without a leader before a member campaigns; also how
             long a member that hears its leader refuses votes.
-        first_campaign_s: Shortest time between campaigns of a member that has heard no leader since
-            it started.
+        initial_election_timeout_s: Shortest time between campaigns of a member that has heard no
+            leader since it started.
         heartbeat_s: Longest time between two appends of a leader to one follower.
         clock_drift: Largest relative difference of two members' clock rates; the lease is
             shortened by it.
@@ -45,7 +45,7 @@
     """
 
     election_timeout_s: float = 0.5
-    first_campaign_s: float = 0.1
+    initial_election_timeout_s: float = 0.1
     heartbeat_s: float = 0.1
     clock_drift: float = 0.05
     max_append_bytes: int = 256 * 1024
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -112,7 +112,7 @@
     @property
     def is_leader(self) -> bool:
         """Whether this member leads and knows every committed entry."""
-        return self.node.is_settled_leader
+        return self.node.is_established_leader
 
     def has_lease(self) -> bool:
         """Whether this member is provably the only leader, and has applied all of earlier terms.
@@ -213,7 +213,7 @@
             await self._save(ready)
         if ready.entries:
             last = ready.entries[-1]
-            self.node.synced(last.index, last.term)
+            self.node.mark_synced(last.index, last.term)
         self._send(ready.messages_after_sync)
         if ready.snapshot is not None:
             self._restore(ready.snapshot)
--- a/src/crowsill/control/joining.py
+++ b/src/crowsill/control/joining.py
@@ -50,7 +50,7 @@
         node = self._node
         if node.leader is not None:
             return True
-        silent_s = monotonic_s() - node.last_leader_contact_s
+        silent_s = monotonic_s() - node.last_leader_contact_at_s
         return node.leader_id is not None and silent_s < LEADER_CONTACT_LIFETIME_S
 
     def _targets(self) -> list[Address]:
--- a/src/crowsill/control/members.py
+++ b/src/crowsill/control/members.py
@@ -7,10 +7,10 @@
 from crowsill.consensus.replacement import (
     GroupHealth,
     SelfRepair,
+    describe_risk,
     group_health,
-    is_whole,
+    is_fully_replicated,
     next_membership,
-    risk,
 )
 from crowsill.control.bootstrap import check_if_empty
 from crowsill.control.driver import ConsensusDriver
@@ -70,7 +70,9 @@
         health = self._health()
         members = [self._describe(member, health) for member in node.membership.members]
         arguments = (node.membership, node.member_id, health, MAX_MEMBER_SILENCE_S)
-        return MembersReport(rejection, is_whole(*arguments), risk(*arguments), members)
+        return MembersReport(
+            rejection, is_fully_replicated(*arguments), describe_risk(*arguments), members
+        )
 
     def _describe(self, member: Member, health: GroupHealth) -> MemberReport:
         leads = member.member_id == self._driver.node.member_id
@@ -170,7 +172,7 @@
         while True:
             await asyncio.sleep(RECONCILE_INTERVAL_S)
             node = self._driver.node
-            if not node.is_settled_leader:
+            if not node.is_established_leader:
                 continue
             health = self._health()
             wanted = next_membership(node.membership, health, MAX_MEMBER_SILENCE_S, self._repair)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from crowsill.consensus.membership import Member
-from crowsill.consensus.replacement import group_health, is_whole, next_membership
+from crowsill.consensus.replacement import group_health, is_fully_replicated, next_membership
 from crowsill.model.configuration import ConfigurationChange, ConfigurationContent, Template
 from crowsill.state.commands import (
     ChangeConfiguration,
@@ -195,7 +195,7 @@
             change = membership.with_member(learner)
         else:
             health = group_health(leader.node, leader.now_s())
-            if is_whole(membership, leader.member_id, health, alive_within_s=1.0):
+            if is_fully_replicated(membership, leader.member_id, health, alive_within_s=1.0):
                 self.replacing = None
                 return
             change = next_membership(membership, health, alive_within_s=1.0)
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -131,7 +131,7 @@
     def finish(self, ready: Ready) -> None:
         self.disk.save(ready)
         if ready.entries:
-            self.node.synced(ready.entries[-1].index, ready.entries[-1].term)
+            self.node.mark_synced(ready.entries[-1].index, ready.entries[-1].term)
         self.group.send(ready.messages_after_sync)
         if ready.snapshot is not None:
             self.machine.restore(ready.snapshot.data)
@@ -191,7 +191,7 @@
         return [member for member in self.members.values() if member.up]
 
     def leader(self) -> SimulatedMember | None:
-        leaders = [member for member in self.live() if member.node.is_settled_leader]
+        leaders = [member for member in self.live() if member.node.is_established_leader]
         return max(leaders, key=lambda member: member.node.term, default=None)
 
     def advance(self, duration_s: float) -> None:
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -6,7 +6,7 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from crowsill.consensus.replacement import group_health, is_whole
+from crowsill.consensus.replacement import group_health, is_fully_replicated
 from tests.scenario import Scenario
 from tests.simulation import SimulatedGroup
 
@@ -66,7 +66,7 @@
     term = leader.node.term
     group.cut.clear()
     group.advance(5.0)
-    assert leader.node.term == term and leader.node.is_settled_leader
+    assert leader.node.term == term and leader.node.is_established_leader
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -100,7 +100,7 @@
     assert lost not in leader.node.membership.voters
     assert not leader.node.membership_is_committed
     health = group_health(leader.node, leader.now_s())
-    assert not is_whole(leader.node.membership, leader.member_id, health, 1.0)
+    assert not is_fully_replicated(leader.node.membership, leader.member_id, health, 1.0)
     group.advance(1.0)
     health = group_health(leader.node, leader.now_s())
-    assert is_whole(leader.node.membership, leader.member_id, health, 1.0)
+    assert is_fully_replicated(leader.node.membership, leader.member_id, health, 1.0)
--- a/tests/test_consensus_unit.py
+++ b/tests/test_consensus_unit.py
@@ -106,7 +106,7 @@
     now_s += 0.3
     index = leader.propose(now_s, b"x")
     ready = leader.take_ready()
-    leader.synced(index, leader.term)
+    leader.mark_synced(index, leader.term)
     for envelope in [*ready.messages, *ready.messages_after_sync]:
         nodes[envelope.target].step(now_s, envelope)
     exchange(nodes, now_s)
