--- a/src/crowsill/model/configuration.py
+++ b/src/crowsill/model/configuration.py
@@ -1,8 +1,8 @@
 """The operators' configuration: templates and the parameters of each tenant.
 
-A template describes a kind of deployment once. Parameters name a template and choose from it for
-one tenant. All of both is one `Configuration` with one revision number, so that entries compare a
-single number to know which is newer.
+A template describes a kind of deployment. The parameters of a tenant refer to a template and select
+from it. All templates and parameters form one `Configuration` with one revision number, so that
+entries compare a single number to find the newer one.
 """
 
 from enum import StrEnum
@@ -22,7 +22,7 @@
 
 
 class Urgency(StrEnum):
-    """Whether a request may wait behind others."""
+    """Whether a request may wait while others are served first."""
 
     URGENT = "urgent"
     PATIENT = "patient"
@@ -32,9 +32,9 @@
     """One class of traffic.
 
     Attributes:
-        urgency: Queue the class waits in.
-        target_ms: A request answered (first byte) within this time counts as attained.
-        deadline_ms: A request not answered within this time is given up.
+        urgency: Queue in which requests of the class wait.
+        target_ms: Target for the time to the first byte of the response.
+        deadline_ms: Time without a response after which a request is abandoned.
     """
 
     urgency: Urgency
@@ -52,8 +52,8 @@
     """A language model.
 
     Attributes:
-        pool: Name of the pool of engines that may hold it.
-        memory_mib: Weights plus the least useful KV cache, per copy.
+        pool: Name of the pool of engines that may load the model.
+        memory_mib: Memory of the weights plus the smallest useful KV cache, per model copy.
         traffic_class: Default class of its requests.
         adapters: Adapters by name.
     """
@@ -70,7 +70,7 @@
     Attributes:
         pool: Name of the pool of replicas that run it.
         traffic_class: Default class of its requests.
-        unsafe: True where a call must run at most once.
+        unsafe: Whether a request must run at most once.
     """
 
     pool: Name
@@ -84,12 +84,12 @@
     Attributes:
         name: Unique name.
         classes: Classes of traffic by name.
-        models: Models by name; the name is the one callers use.
+        models: Models by the name that callers use.
         services: Plain services by name.
-        move_price: Requests per second that a further copy must take off the others to be worth
-            one move.
-        spare_copies: Copies beyond the first that are kept where memory is free, so that a model
-            answers on when its engine goes.
+        move_price: Requests per second that an additional model copy must take over from the
+            others to justify one load.
+        spare_copies: Model copies beyond the first that are kept while memory is free, so that a
+            model stays available when its engine fails.
     """
 
     name: Name
@@ -101,12 +101,12 @@
 
 
 class TenantLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of one tenant, each held per entry.
+    """Limits of one tenant; each entry applies them separately.
 
     Attributes:
         requests_per_s: Sustained rate.
         burst: Requests above the rate that are accepted at once.
-        max_queued: Requests of this tenant that may wait.
+        max_queued: Maximum number of waiting requests of the tenant.
     """
 
     requests_per_s: PositiveFloat = 1000.0
@@ -115,17 +115,17 @@
 
 
 class Parameters(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One tenant's use of a template.
+    """A tenant's selection from a template.
 
     Attributes:
         tenant: Unique name of the tenant.
         template: Name of the template.
         token_sha256: SHA-256 of each accepted bearer token, as lower-case hex.
-        models: Models of the template the tenant uses.
-        services: Services of the template the tenant uses.
-        class_of: Class by model or service name, where it differs from the template's.
+        models: Models of the template that the tenant uses.
+        services: Services of the template that the tenant uses.
+        class_of: Traffic class by model or service name, if it differs from the template's.
         limits: The tenant's limits.
-        move_price: Replaces the template's price of a move.
+        move_price: Overrides the `move_price` of the template.
     """
 
     tenant: Name
@@ -139,7 +139,7 @@
 
 
 class ConfigurationContent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one change sets and removes; documents not named keep their value."""
+    """What one change sets and removes; all other documents keep their value."""
 
     templates: list[Template] = []
     parameters: list[Parameters] = []
@@ -151,8 +151,8 @@
     """A change as an operator submits it.
 
     Attributes:
-        change_id: Chosen by the operator's client; a resend carries the same one.
-        base_revision: The revision the operator looked at.
+        change_id: Id chosen by the operator's client; a resend carries the same id.
+        base_revision: The revision that the change is based on.
         content: What the change sets and removes.
         author: Name of the operator, for the history.
     """
@@ -191,7 +191,7 @@
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True):
-    """One accepted change on its way to entries: the step from `revision - 1` to `revision`."""
+    """One accepted change as sent to entries: the step from `revision - 1` to `revision`."""
 
     revision: int
     content: ConfigurationContent
--- a/src/crowsill/model/fleet.py
+++ b/src/crowsill/model/fleet.py
@@ -1,4 +1,4 @@
-"""The back ends as crowsill sees them: replicas, what they hold and how loaded they are."""
+"""Replicas of back ends as control members and entries see them, with models and load."""
 
 from enum import StrEnum
 
@@ -6,25 +6,25 @@
 
 
 class ReplicaKind(StrEnum):
-    """What a back end is."""
+    """Kind of a back end."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class ReplicaDescription(msgspec.Struct, frozen=True):
-    """One line of the platform's list of machines.
+    """One replica in the platform's list of machines.
 
     Attributes:
         replica_id: Unique name.
-        kind: Engine or plain service.
+        kind: Kind of the replica.
         address: `IP:port` of its HTTP interface.
-        zone: Site it stands in.
-        pool: Pool it belongs to.
+        zone: Site where the replica runs.
+        pool: Pool of the replica.
         memory_mib: Accelerator memory; 0 for a service.
-        max_concurrency: Requests it runs at once.
-        checks_fence: Whether it refuses orders older than the newest it has seen.
-        draining: Whether the platform wants it gone.
+        max_concurrency: Number of requests that it runs concurrently.
+        checks_fence: Whether it rejects orders that are older than the newest it has received.
+        draining: Whether the platform is removing the replica.
     """
 
     replica_id: str
@@ -39,15 +39,15 @@
 
 
 class ReplicaReport(msgspec.Struct, frozen=True):
-    """What a back end reports of itself; the figures lag.
+    """A back end's report about itself; its values lag.
 
     Attributes:
-        incarnation: Changes each time the back end restarts.
-        resident: Names that answer now: `model` and `model:adapter`.
-        loading: Names whose load has begun.
+        incarnation: Id that changes with each restart of the back end.
+        resident: Loaded resources: `model` and `model:adapter`.
+        loading: Resources whose load has begun.
         running: Requests in execution.
         waiting: Requests queued inside the back end.
-        draining: Whether it has been told to go.
+        draining: Whether the replica was asked to shut down.
     """
 
     incarnation: str
@@ -59,13 +59,13 @@
 
 
 class ReplicaState(msgspec.Struct, frozen=True):
-    """A replica as control members tell entries about it: description and report merged.
+    """A replica as control members report it to entries: description and report combined.
 
     Attributes:
-        description: The platform's line.
+        description: The platform's description.
         report: The replica's own report.
-        reachable: Whether it answered lately.
-        number: Short name within one epoch, used by load updates.
+        reachable: Whether its recent reports could be fetched.
+        number: Number within one epoch that identifies the replica in load updates.
     """
 
     description: ReplicaDescription
@@ -80,11 +80,11 @@
 
 
 class LoadUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The load of one replica; a few bytes on the wire.
+    """The load of one replica, in few bytes.
 
     Attributes:
         number: The replica's number in this epoch.
-        in_flight: Requests that run or wait there.
+        in_flight: Requests that run or wait at the replica.
     """
 
     number: int
@@ -92,15 +92,15 @@
 
 
 class FleetDelta(msgspec.Struct, frozen=True):
-    """A step of the fleet view.
+    """One incremental or full update of the fleet view.
 
     Attributes:
-        epoch: Term of the leader that observed it; a higher epoch starts over.
-        sequence: Number of the step within the epoch.
+        epoch: Term of the observing leader; numbering restarts with each epoch.
+        sequence: Number of the update within the epoch.
         full: Whether `changed` is the whole fleet.
-        changed: Replicas that are new or differ in more than their load.
+        changed: Replicas that are new or that changed in more than their load.
         removed: Ids of replicas that are gone.
-        loads: Loads that changed enough to matter.
+        loads: Loads that changed significantly.
     """
 
     epoch: int
@@ -112,7 +112,7 @@
 
 
 class FleetView:
-    """The fleet as one process knows it, kept up to date by deltas."""
+    """A process's copy of the fleet state, updated by deltas."""
 
     def __init__(self) -> None:
         self.epoch = 0
@@ -124,11 +124,12 @@
         """Apply a delta.
 
         Args:
-            delta: The next step, or a full state.
+            delta: The next update, or a full state.
 
         Returns:
-            False when steps are missing. The position is then reset to sequence 0, which asks
-            for a full state. An older step than the one held is ignored and counts as applied.
+            False if updates are missing. The sequence is then reset to 0, which requests a full
+            state. An update that is older than the current position is ignored and counts as
+            applied.
         """
         position = (delta.epoch, delta.sequence)
         if position <= (self.epoch, self.sequence):
--- a/src/crowsill/model/request.py
+++ b/src/crowsill/model/request.py
@@ -7,7 +7,7 @@
 
 
 class RequestTarget(StrEnum):
-    """What kind of back end a request goes to."""
+    """Kind of back end that a request is sent to."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -15,26 +15,26 @@
 
 @dataclass(slots=True)
 class ClassifiedRequest:
-    """A request with everything that routing needs to know.
+    """A request with everything that routing needs.
 
     Attributes:
-        request_id: Unique id, from the caller or made here.
+        request_id: Unique id, set by the caller or generated.
         tenant: Authenticated tenant.
         target: Model or service.
         resource: `model`, `model:adapter` or the service's name.
-        pool: Pool of replicas that may serve it.
-        method: HTTP method towards the back end.
-        path: Path and query towards the back end.
+        pool: Pool of replicas that may serve the request.
+        method: HTTP method of the request to the back end.
+        path: Path and query of the request to the back end.
         content_type: Content type of the body.
-        body: The whole body.
-        urgency: Queue it waits in.
-        target_ms: Time to the first byte that counts as attained.
-        deadline_s: Time on the monotonic clock after which it is given up.
-        arrived_s: Time on the monotonic clock of its arrival.
-        unsafe: Whether it must run at most once.
-        idempotency_key: The caller's key; set whenever `unsafe` is.
-        streamed: Whether the answer is a stream of server-sent events.
-        prefix_hash: Hash of the prompt's start, for prefix affinity; 0 for none.
+        body: The complete body.
+        urgency: Queue in which the request waits.
+        target_ms: Target for the time to the first byte.
+        deadline_s: Monotonic time after which the request is abandoned.
+        arrived_s: Monotonic time of its arrival.
+        unsafe: Whether the request must run at most once.
+        idempotency_key: The caller's idempotency key; always set if `unsafe` is true.
+        streamed: Whether the response is a stream of server-sent events.
+        prefix_hash: Hash of the start of the prompt, for prefix affinity; 0 for none.
     """
 
     request_id: str
--- a/src/crowsill/model/route_codec.py
+++ b/src/crowsill/model/route_codec.py
@@ -1,7 +1,8 @@
-"""Documents of route configurations: from the bytes an operator sent to typed values, and back.
+"""Decoding and compression of route configuration documents.
 
-The replicated state keeps a document as it was sent. A deployment whose operators write another
-form passes its own `RouteCodec`; the product's own form is the JSON of `RouteConfiguration`.
+The replicated state stores a document as the operator sent it. A deployment whose operators use
+another format supplies its own `RouteCodec`; the default format is the JSON of
+`RouteConfiguration`.
 """
 
 import zlib
@@ -17,21 +18,21 @@
 
 
 class RouteCodec(Protocol):
-    """Reads the documents of one kind of operator."""
+    """Decodes route documents of one format."""
 
     def decode(self, content: bytes) -> Result[RouteConfiguration, str]:
-        """Read a document; the failure says in one line what is wrong with it."""
+        """Decode a document; the failure is a one-line description of the error."""
 
 
 class JsonRouteCodec:
-    """The product's own form: the JSON of `RouteConfiguration`.
+    """The default format: the JSON of `RouteConfiguration`.
 
     >>> JsonRouteCodec().decode(b'{"version": "x"}').failure()
     'Expected `int`, got `str` - at `$.version`'
     """
 
     def decode(self, content: bytes) -> Result[RouteConfiguration, str]:
-        """Read a document."""
+        """Decode a document."""
         try:
             return Success(msgspec.json.decode(content, type=RouteConfiguration))
         except msgspec.DecodeError as error:
@@ -39,7 +40,7 @@
 
 
 def decode_and_check(codec: RouteCodec, content: bytes) -> Result[RouteConfiguration, str]:
-    """Read a document and check what it says."""
+    """Decode a document and validate the route configuration."""
     decoded = codec.decode(content)
     if not isinstance(decoded, Success):
         return decoded
@@ -48,7 +49,7 @@
 
 
 def compress_document(version: int, content: bytes) -> RouteDocument:
-    """Return the document as the replicated state keeps it.
+    """Return the compressed document that the replicated state stores.
 
     >>> decompress_document(compress_document(3, b"abc"))
     b'abc'
@@ -57,5 +58,5 @@
 
 
 def decompress_document(document: RouteDocument) -> bytes:
-    """Return a kept document as it was sent."""
+    """Return a stored document as the operator sent it."""
     return zlib.decompress(document.content) if document.content else b""
--- a/src/crowsill/model/routes.py
+++ b/src/crowsill/model/routes.py
@@ -1,7 +1,8 @@
 """Routes: which plain HTTP requests go to which service, and under what limits.
 
-A route configuration is one whole, with a version that the operator chooses; the highest version
-is in force. It stands beside templates and parameters, which have revisions of the product's own.
+A route configuration is always replaced as one document. The operator chooses its version, and the
+highest version is in effect. It is independent of templates and parameters, whose revisions
+crowsill assigns.
 """
 
 from enum import StrEnum
@@ -12,7 +13,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route."""
+    """How the requests of a route may be executed."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -32,17 +33,17 @@
     Attributes:
         name: Unique name.
         host: Value of the `Host` header, without a port.
-        path_prefix: Begins and ends with a slash.
-        kind: What may be done with its requests.
-        timeout_ms: Longest time a request is held.
-        services: Services that share the requests; at least one weight is positive.
-        target_latency_ms: Time within which an answer earns its full worth.
-        target_gap_ms: Longest pause between two events of a stream.
+        path_prefix: Path prefix of its requests; begins and ends with a slash.
+        kind: How its requests may be executed.
+        timeout_ms: Deadline of a request, counted from its arrival.
+        services: Services among which the requests are divided; at least one weight is positive.
+        target_latency_ms: Time within which a response counts in full.
+        target_gap_ms: Target for the maximum gap between two events of a stream.
         rank: Urgency; 0 is the highest.
-        max_attempts: Replicas that one request may be run by.
-        sticky: Whether requests sharing parts of a prompt should meet again.
-        resumable: Whether a broken stream may go on at another replica.
-        public: Whether callers without a key are served, too.
+        max_attempts: Maximum number of replicas that one request may be sent to.
+        sticky: Whether requests with a common prompt prefix prefer the same replica.
+        resumable: Whether an interrupted stream may be continued by another replica.
+        public: Whether callers without a key are served too.
     """
 
     name: str
@@ -61,19 +62,19 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may be run again after a run whose end is unknown."""
+        """Whether a request may run again after an attempt whose outcome is unknown."""
         return self.kind is RouteKind.IDEMPOTENT
 
 
 class ModelWeights(msgspec.Struct, frozen=True):
-    """A model that engines of a service may hold.
+    """A model that engines of a service may load.
 
     Attributes:
-        name: Its name in requests.
-        memory_mb: Memory its weights take.
-        load_s: Time of a load from the weight store.
-        host_load_s: Time of a load from a copy in the machine's memory.
-        disk_load_s: Time of a load from a copy on the machine's disk.
+        name: Name of the model in requests.
+        memory_mb: Memory of its weights.
+        load_s: Duration of a load from the weight store.
+        host_load_s: Duration of a load from a copy in the host's memory.
+        disk_load_s: Duration of a load from a copy on the host's disk.
         adapters: Number of adapters, named `a1`, `a2` and so on.
         adapter_memory_mb: Memory of one adapter.
     """
@@ -88,15 +89,15 @@
 
 
 class EngineLimits(msgspec.Struct, frozen=True):
-    """What every engine of a service can take.
+    """Capacity of every engine of a service.
 
     Attributes:
         memory_mb: Memory for weights and adapters.
-        adapter_slots: Adapters it can hold.
-        batch_slots: Requests it runs at once.
-        cache_tokens: Tokens that running requests and cached prompts share.
-        store_loads_per_s: Loads that the weight store starts a second, over all engines.
-        models: Models that its engines may hold.
+        adapter_slots: Maximum number of loaded adapters.
+        batch_slots: Number of requests that an engine runs concurrently.
+        cache_tokens: Capacity of the KV cache that running requests and cached prompts share.
+        store_loads_per_s: Loads per second that the weight store starts, over all engines.
+        models: Models that the engines may load.
     """
 
     memory_mb: float
@@ -112,11 +113,11 @@
 
 
 class ServiceDefinition(msgspec.Struct, frozen=True):
-    """A service that routes name.
+    """A service that routes refer to.
 
     Attributes:
         name: Unique name.
-        max_connections: Connections one replica takes from all callers together.
+        max_connections: Connections that one replica accepts from all callers together.
         engine: Set for a service of model engines.
     """
 
@@ -126,7 +127,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on the size of a caller's request and on the time to send it."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -135,7 +136,7 @@
 
 
 class RouteConfiguration(msgspec.Struct, frozen=True):
-    """All routes, services and tenants of one version; without tenants, nobody needs a key."""
+    """All routes, services and tenants of one version; without tenants, callers need no key."""
 
     version: int = 0
     routes: list[Route] = []
@@ -145,7 +146,7 @@
 
 
 def route_faults(configuration: RouteConfiguration) -> list[str]:
-    """Return what is wrong with a route configuration; empty when it may be put in force.
+    """Return the errors in a route configuration; empty if it is valid.
 
     >>> route_faults(RouteConfiguration(0))
     ['version must be 1 or more']
@@ -160,7 +161,7 @@
     names: set[str] = set()
     places: set[tuple[str, str]] = set()
     for route in configuration.routes:
-        faults.extend(_faults_of(route, services))
+        faults.extend(_route_faults(route, services))
         place = (route.host.lower(), route.path_prefix)
         if place in places:
             faults.append(f"route {route.name}: another route has its host and path prefix")
@@ -171,19 +172,19 @@
     return faults
 
 
-def _faults_of(route: Route, services: set[str]) -> list[str]:
+def _route_faults(route: Route, services: set[str]) -> list[str]:
     faults: list[str] = []
     prefix = route.path_prefix
     if not (prefix.startswith("/") and prefix.endswith("/")):
         faults.append(f"route {route.name}: the path prefix must begin and end with a slash")
     if not route.host:
-        faults.append(f"route {route.name}: no host")
+        faults.append(f"route {route.name}: the host is empty")
     if route.timeout_ms <= 0:
-        faults.append(f"route {route.name}: the time-out must be above 0")
+        faults.append(f"route {route.name}: the timeout must be greater than 0")
     if route.max_attempts < 1:
         faults.append(f"route {route.name}: at least one attempt is needed")
     if any(share.weight < 0 for share in route.services):
-        faults.append(f"route {route.name}: a weight is negative")
+        faults.append(f"route {route.name}: a weight must not be negative")
     if sum(share.weight for share in route.services) <= 0:
         faults.append(f"route {route.name}: the weights sum to 0")
     for share in route.services:
--- a/src/crowsill/model/tenants.py
+++ b/src/crowsill/model/tenants.py
@@ -1,6 +1,6 @@
-"""Tenants: whose requests are served, in which rank, and how much of them.
+"""Tenants: which callers are served, with which rank and at which rate.
 
-Keys are only ever held as SHA-256 digests: no value of the product contains a key.
+Keys are stored only as SHA-256 digests; no value in crowsill contains a key.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 class RateUnit(StrEnum):
-    """What a tenant's rate counts."""
+    """Unit of a tenant's rate limit."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -22,13 +22,14 @@
     """One tenant.
 
     Attributes:
-        name: Unique name; replicas are told it.
-        key_sha256: SHA-256 of each key, as lower-case hex. Without any, it is served nothing.
-        rank: Urgency of its requests in place of their route's; 0 is the highest.
-        rate_per_s: Units a second over all gateways together; 0 for no limit.
-        burst: Units beyond the rate that it may use at once.
-        unit: What is counted.
-        plain_tokens: What a request counts that tells no tokens, where tokens are counted.
+        name: Unique name; requests carry it to replicas.
+        key_sha256: SHA-256 of each key, as lower-case hex. A tenant without keys is not
+            served.
+        rank: Overrides the rank of the route for its requests; 0 is the most urgent.
+        rate_per_s: Units per second over all gateways together; 0 for no limit.
+        burst: Units above the rate that it may use at once.
+        unit: Unit of `rate_per_s` and `burst`.
+        plain_tokens: Tokens charged for a request that states no token counts.
     """
 
     name: str
@@ -41,14 +42,14 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether its rate is bounded."""
+        """Whether the tenant has a rate limit."""
         return self.rate_per_s > 0.0
 
     def cost(self, tokens: int) -> float:
-        """Return the units that a request counts.
+        """Return the units that a request is charged.
 
         Args:
-            tokens: Tokens of its prompt and most tokens out, together; 0 when it tells none.
+            tokens: Prompt tokens plus maximum output tokens; 0 if the request states none.
 
         >>> Tenant("t").cost(700), Tenant("t", unit=RateUnit.TOKENS, plain_tokens=9.0).cost(0)
         (1.0, 9.0)
@@ -59,29 +60,27 @@
 
 
 def tenant_faults(tenants: list[Tenant]) -> list[str]:
-    """Return what is wrong with the tenants of a configuration.
-
-    No fault names a key or its digest.
+    """Return the errors in the tenants of a configuration; no text contains a key or a digest.
 
     >>> tenant_faults([Tenant("a", ["x"]), Tenant("b", ["x"])])
-    ['tenant b: a key stands twice']
+    ['tenant b: a key is listed twice']
     """
     faults: list[str] = []
     names: set[str] = set()
     digests: set[str] = set()
     for tenant in tenants:
-        faults.extend(_faults_of(tenant))
+        faults.extend(_single_tenant_faults(tenant))
         if tenant.name in names:
             faults.append(f"tenant {tenant.name}: another tenant has its name")
         repeated = [key for key, count in Counter(tenant.key_sha256).items() if count > 1]
         if repeated or not digests.isdisjoint(tenant.key_sha256):
-            faults.append(f"tenant {tenant.name}: a key stands twice")
+            faults.append(f"tenant {tenant.name}: a key is listed twice")
         names.add(tenant.name)
         digests.update(tenant.key_sha256)
     return faults
 
 
-def _faults_of(tenant: Tenant) -> list[str]:
+def _single_tenant_faults(tenant: Tenant) -> list[str]:
     faults: list[str] = []
     if not tenant.name:
         faults.append("a tenant has no name")
--- a/src/crowsill/model/validation.py
+++ b/src/crowsill/model/validation.py
@@ -1,4 +1,4 @@
-"""Cross checks of a configuration that its field types cannot express."""
+"""Checks across the fields of a configuration that field types cannot express."""
 
 from collections.abc import Iterator
 
@@ -8,11 +8,11 @@
 
 
 class ConfigurationFault(msgspec.Struct, frozen=True):
-    """One thing wrong with a configuration.
+    """One error in a configuration.
 
     Attributes:
-        path: Key path of the faulty value.
-        message: What is wrong and what would be right.
+        path: Key path of the invalid value.
+        message: The error, with the valid values if they are known.
     """
 
     path: str
@@ -86,7 +86,7 @@
 
 
 def configuration_faults(configuration: Configuration) -> list[ConfigurationFault]:
-    """Return everything wrong with a configuration; an empty list means it may be accepted."""
+    """Return all errors in a configuration; an empty list means that it is valid."""
     faults: list[ConfigurationFault] = []
     for template in configuration.templates.values():
         faults.extend(_template_faults(template))
