--- a/src/crowsill/gateway/__init__.py
+++ b/src/crowsill/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: passes callers' plain HTTP requests on to registered replicas, unchanged."""
+"""The gateway: forwards callers' plain HTTP requests to registered replicas, unchanged."""
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -1,4 +1,4 @@
-"""A single HTTP call to a replica, for control members: orders and reports."""
+"""Single HTTP calls of control members to replicas, for orders and reports."""
 
 import asyncio
 from collections import OrderedDict
@@ -15,21 +15,25 @@
 from crowsill.logs import log_event
 from crowsill.model.instances import Instance
 
-# Lives whose rests are remembered; the largest site has 1,200 replicas.
-REMEMBERED_RESTS = 4000
+# Instances whose backoff is remembered; the largest deployment has 1,200 replicas.
+MAX_REMEMBERED_BACKOFFS = 4000
 
 
 @dataclass(frozen=True, slots=True)
 class CallResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
     body: bytes
 
 
-class _Collector:
-    """Collects one answer; implements `ResponseSink`."""
+class _ResponseCollector:
+    """Collects one response; implements `ResponseSink`.
+
+    Attributes:
+        ended: Resolves to the response, or None if it broke off.
+    """
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -51,16 +55,16 @@
     def on_break(self, reason: Break) -> None:
         self._end(None)
 
-    def _end(self, answer: CallResponse | None) -> None:
+    def _end(self, response: CallResponse | None) -> None:
         if not self.ended.done():
-            self.ended.set_result(answer)
+            self.ended.set_result(response)
 
 
 class ReplicaCaller:
-    """Sends single calls to replicas, and hears what these say of themselves.
+    """Sends single calls to replicas and reads the signals in their responses.
 
     Attributes:
-        on_draining: Receives the ids of lives that said that they leave, with each such answer.
+        on_draining: Receives the id of the instance at each response that reports draining.
     """
 
     def __init__(self, names: HeaderNames) -> None:
@@ -70,39 +74,46 @@
         self._availability: OrderedDict[str, Availability] = OrderedDict()
 
     def is_backing_off(self, instance: Instance) -> bool:
-        """Whether a replica asked this process for rest, so that nothing is to be sent there."""
+        """Whether the replica requested a backoff that is in effect: nothing may be sent to it."""
         known = self._availability.get(instance.instance_id)
         return known is not None and known.is_backing_off(monotonic_s())
 
     async def call(
         self, instance: Instance, message: bytes, timeout_s: float
     ) -> CallResponse | None:
-        """Send one whole HTTP message and return the answer; None when none came in time.
+        """Send an HTTP request and return the response, or None if there was none in time.
+
+        Nothing is sent to a replica that is backing off; the result is None, too.
 
-        Nothing is sent to a replica that rests; that, too, brings no answer.
+        Args:
+            instance: The replica.
+            message: The complete HTTP request.
+            timeout_s: Time for connecting, sending and receiving.
         """
         if self.is_backing_off(instance):
             return None
-        answer = await self._exchange(instance, message, timeout_s)
-        if answer is not None:
-            self._take_signals(instance, answer)
-        return answer
+        response = await self._exchange(instance, message, timeout_s)
+        if response is not None:
+            self._handle_signals(instance, response)
+        return response
 
-    def _take_signals(self, instance: Instance, answer: CallResponse) -> None:
-        signals = read_signals(answer.status, answer.headers, self._names, wall_s())
+    def _handle_signals(self, instance: Instance, response: CallResponse) -> None:
+        signals = read_signals(response.status, response.headers, self._names, wall_s())
         if signals.backoff_s > 0.0:
-            self._note_rest(instance, answer.status, signals.backoff_s)
+            self._note_backoff(instance, response.status, signals.backoff_s)
         if signals.is_draining:
             self.on_draining([instance.instance_id])
 
-    def _note_rest(self, instance: Instance, status: int, rest_s: float) -> None:
-        life = instance.instance_id
-        known = self._availability.setdefault(life, Availability())
-        self._availability.move_to_end(life)
-        if len(self._availability) > REMEMBERED_RESTS:
+    def _note_backoff(self, instance: Instance, status: int, backoff_s: float) -> None:
+        instance_id = instance.instance_id
+        known = self._availability.setdefault(instance_id, Availability())
+        self._availability.move_to_end(instance_id)
+        if len(self._availability) > MAX_REMEMBERED_BACKOFFS:
             self._availability.popitem(last=False)
-        if known.note_backoff(rest_s, monotonic_s()):
-            log_event(Event.REPLICA_RESTS, replica=life, status=status, rest_s=round(rest_s, 3))
+        if known.note_backoff(backoff_s, monotonic_s()):
+            log_event(
+                Event.REPLICA_RESTS, replica=instance_id, status=status, rest_s=round(backoff_s, 3)
+            )
 
     async def _exchange(
         self, instance: Instance, message: bytes, timeout_s: float
@@ -112,17 +123,17 @@
             connection = await self._pool.acquire(instance, timeout_s)
         except ConnectError:
             return None
-        collector = _Collector()
-        answer: CallResponse | None = None
+        collector = _ResponseCollector()
+        response: CallResponse | None = None
         try:
-            # The connection may have taken a second to come up.
+            # Checked again: opening the connection may have taken a second.
             if self.is_backing_off(instance):
                 return None
             connection.send(message, b"", False, collector)
             async with asyncio.timeout_at(deadline_s):
-                answer = await collector.ended
+                response = await collector.ended
         except TimeoutError:
             pass
         finally:
-            self._pool.release(instance.instance_id, connection, answer is not None)
-        return answer
+            self._pool.release(instance.instance_id, connection, response is not None)
+        return response
--- a/src/crowsill/gateway/caller_protocol.py
+++ b/src/crowsill/gateway/caller_protocol.py
@@ -11,7 +11,7 @@
 
 from crowsill.errors import ErrorKind, Problem
 from crowsill.gateway.headers import HeaderNames, Headers, find_header
-from crowsill.gateway.request import CallerRequest, interpret
+from crowsill.gateway.request import CallerRequest, read_headers
 from crowsill.gateway.response import encode_problem
 from crowsill.model.routes import CallerLimits
 
@@ -164,7 +164,7 @@
             arrived_at_s=self.received_at_s,
         )
         self._reset_message()
-        self._pending_requests.append(interpret(request, self._handler.names))
+        self._pending_requests.append(read_headers(request, self._handler.names))
         self._handle_next()
 
     def _handle_next(self) -> None:
--- a/src/crowsill/gateway/forwarding.py
+++ b/src/crowsill/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Encodes a caller's request as it goes to a replica: unchanged but for its connection."""
+"""Encodes a caller's request for a replica: only connection and gateway headers change."""
 
 from dataclasses import dataclass
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardingTerms:
-    """What the gateway tells a replica of a request.
+    """Values that the gateway sets in a forwarded request.
 
     Attributes:
-        replica: The replica that is to run it, and no other.
-        rank: Its rank; 0 is the most urgent.
-        remaining_s: Time that is left for it.
-        is_keyed: Whether callers show keys: then neither the key nor the tenant that a caller names
-            is passed on.
-        tenant: Tenant that it counts to; empty for none.
+        replica: The only replica that may run the request.
+        rank: Rank of the request; 0 is the most urgent.
+        remaining_s: Time until the request's deadline.
+        is_keyed: Whether callers need API keys. If so, neither the key nor a tenant header of the
+            caller is forwarded.
+        tenant: Tenant that the request is charged to; empty for none.
     """
 
     replica: str
@@ -32,17 +32,17 @@
 def encode_forwarded_request(
     request: CallerRequest, names: HeaderNames, terms: ForwardingTerms
 ) -> bytes:
-    """Return the bytes of a request for one instance.
+    """Return the HTTP request for one instance.
 
     Args:
         request: The caller's request.
         names: Header names that replicas know.
-        terms: What the gateway sets itself.
+        terms: Values that the gateway sets.
     """
-    set_here = [names.deadline, names.expect_instance, names.priority]
+    gateway_set_names = [names.deadline, names.expect_instance, names.priority]
     if terms.is_keyed:
-        set_here += [names.tenant, b"authorization"]
-    headers = end_to_end_headers(request.headers, names.reserved.union(set_here))
+        gateway_set_names += [names.tenant, b"authorization"]
+    headers = end_to_end_headers(request.headers, names.reserved.union(gateway_set_names))
     if terms.tenant:
         headers.append((names.tenant, terms.tenant.encode()))
     headers.append((names.deadline, b"%d" % max(1, int(terms.remaining_s * 1000))))
--- a/src/crowsill/gateway/headers.py
+++ b/src/crowsill/gateway/headers.py
@@ -1,7 +1,7 @@
-"""Names of the headers that the gateway reads and sets, and how it reads their values.
+"""Names of the headers that the gateway reads and sets, and functions that read their values.
 
-The names are a parameter: a deployment whose callers and replicas use others passes its own
-`HeaderNames`. All names are lower-case bytes; they are written on the wire as given in `spelled`.
+The names are a parameter: a deployment whose callers and replicas use other names passes its own
+`HeaderNames`. All names are lower-case bytes.
 """
 
 from dataclasses import dataclass
@@ -14,23 +14,24 @@
     """Header names, lower-case.
 
     Attributes:
-        request_id: Identity of one request of a caller; a replica repeats it in its answer.
-        deadline: Milliseconds that the sender will wait.
-        expect_instance: Only this instance may run the request.
-        stamp: Signature of a replica on its answer.
+        request_id: Id of a caller's request; the replica repeats it in its response.
+        deadline: Milliseconds that the sender waits.
+        expect_instance: The only instance that may run the request.
+        stamp: Signature of the replica on its response.
         not_run: Set by a replica that did not run the request.
-        load: Requests running, waiting, and slots of a replica.
-        leaving: Names of the header by which a replica says that it leaves; any of them counts.
-        limit: Names of the header by which a replica names the requests a second that it takes from
-            all gateways together; any of them counts.
-        model: Model, and after a slash its adapter.
-        token_counts: Tokens of the prompt and most tokens out.
-        prompt_parts: Parts of the prompt as `ID:TOKENS`, joined by commas.
-        priority: Rank among the requests of a replica.
-        instance: Identity of the instance that answers.
-        last_event_id: Last event that a caller has seen of a stream.
-        tenant: Tenant that a request counts to; told to replicas.
-        reserved: Further names that only the gateway may set; a caller's are left out.
+        load: Running requests, waiting requests and slots of the replica.
+        leaving: Names of the headers by which a replica reports that it drains; any of them counts.
+        limit: Names of the headers by which a replica advertises its rate limit, in requests per
+            second from all gateways together; any of them counts.
+        model: Model, followed by a slash and the adapter if there is one.
+        token_counts: Number of prompt tokens and maximum number of output tokens.
+        prompt_parts: Parts of the prompt as `ID:TOKENS`, separated by commas.
+        priority: Rank of the request at the replica.
+        instance: Id of the instance that responds.
+        last_event_id: Id of the last event of a stream that the caller received.
+        tenant: Tenant that a request is charged to; sent to replicas.
+        reserved: Further names that only the gateway may set; a caller's headers of these names are
+            dropped.
     """
 
     request_id: bytes = b"crowsill-request-id"
@@ -51,8 +52,8 @@
     reserved: frozenset[bytes] = frozenset()
 
 
-# Headers that pertain to one connection only (RFC 9110, section 7.6.1), and the framing of a
-# body, which is made anew.
+# Headers of a single connection (RFC 9110, section 7.6.1), and the framing of a body, which the
+# gateway sets again.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -92,11 +93,11 @@
 
 
 def end_to_end_headers(headers: Headers, also_dropped: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that are passed on.
+    """Return the headers to forward.
 
     Args:
         headers: Headers of a message.
-        also_dropped: Further lower-case names to leave out.
+        also_dropped: Further lower-case names to drop.
 
     >>> end_to_end_headers([(b"Connection", b"x-hop"), (b"X-Hop", b"1"), (b"A", b"2")])
     [(b'A', b'2')]
@@ -109,7 +110,7 @@
 
 
 def read_number(value: bytes | None) -> float | None:
-    """Read a number that is not negative; None when there is none.
+    """Parse a non-negative number below 1e12; return None if there is none.
 
     >>> read_number(b"1500"), read_number(b"-1"), read_number(b"soon"), read_number(None)
     (1500.0, None, None, None)
--- a/src/crowsill/gateway/pool.py
+++ b/src/crowsill/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to replicas: kept, bounded, and opened sparingly."""
+"""A pool of connections to replicas, by instance."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,16 +10,16 @@
 from crowsill.transport.sockets import bound_silence
 
 CONNECT_TIMEOUT_S = 1.0
-SILENCE_S = 2.0
-SWEEP_S = 1.0
+SILENCE_TIMEOUT_S = 2.0
+SWEEP_INTERVAL_S = 1.0
 
 
 class ConnectError(Exception):
-    """No connection could be made: nothing was sent."""
+    """No connection could be opened; nothing was sent."""
 
     @property
     def is_refused(self) -> bool:
-        """Whether the machine said that nobody listens there."""
+        """Whether the machine refused the connection, because no process listens on the port."""
         return isinstance(self.__cause__, ConnectionRefusedError)
 
 
@@ -31,7 +31,11 @@
 
 
 class ConnectionPool:
-    """Connections by instance; a replica that starts anew at an address has its own."""
+    """Connections by instance; a replica that restarts at the same address is a new instance.
+
+    Attributes:
+        opened: Number of connections that were opened, or tried, so far.
+    """
 
     def __init__(self, names: HeaderNames) -> None:
         self._names = names
@@ -40,37 +44,42 @@
         self.opened = 0
 
     def in_use(self, instance_id: str) -> int:
-        """Return the number of connections that carry a request."""
+        """Return the number of connections in use, including those being opened."""
         pool = self._pools.get(instance_id)
         return 0 if pool is None else pool.in_use
 
     def has_idle(self, instance_id: str) -> bool:
-        """Whether a connection is open that carries no request."""
+        """Whether an idle connection to the instance is in the pool."""
         pool = self._pools.get(instance_id)
         return pool is not None and bool(pool.idle)
 
     def has_open(self, instance_id: str) -> bool:
-        """Whether any connection to an instance has not ended, as far as is known here."""
+        """Whether this process has any open connection to the instance."""
         pool = self._pools.get(instance_id)
         if pool is None:
             return False
-        # What is being opened is no connection yet: others try while a closed port is asked, too.
+        # Connections that are being opened don't count: other requests may be trying the same
+        # closed port.
         established = pool.in_use - pool.opening
         return established > 0 or any(connection.is_open for connection in pool.idle)
 
     def _take_idle(self, pool: _InstancePool, now_s: float) -> ReplicaConnection | None:
         while pool.idle:
             connection = pool.idle.pop()
-            if connection.is_open and connection.is_reusable and now_s < connection.idle_until_s:
+            if (
+                connection.is_open
+                and connection.is_reusable
+                and now_s < connection.idle_expires_at_s
+            ):
                 return connection
             connection.discard()
         return None
 
     async def acquire(self, instance: Instance, timeout_s: float) -> ReplicaConnection:
-        """Return a connection that nobody else uses.
+        """Return an idle connection, or open a new one, for exclusive use.
 
         Raises:
-            ConnectError: None could be made in time; nothing was sent.
+            ConnectError: No connection could be opened in time; nothing was sent.
         """
         pool = self._pools.setdefault(instance.instance_id, _InstancePool())
         connection = self._take_idle(pool, self._loop.time())
@@ -80,10 +89,10 @@
         return connection
 
     async def open_connection(self, instance: Instance, timeout_s: float) -> ReplicaConnection:
-        """Return a connection that is made now, whatever idle ones there are.
+        """Open a new connection, even if there are idle ones.
 
         Raises:
-            ConnectError: None could be made in time; its cause tells whether it was refused.
+            ConnectError: No connection could be opened in time; `is_refused` gives the reason.
         """
         pool = self._pools.setdefault(instance.instance_id, _InstancePool())
         pool.in_use += 1
@@ -106,11 +115,11 @@
             transport, connection = await self._loop.create_connection(
                 lambda: ReplicaConnection(self._names), address.host, address.port
             )
-        bound_silence(transport, SILENCE_S)
+        bound_silence(transport, SILENCE_TIMEOUT_S)
         return connection
 
     def release(self, instance_id: str, connection: ReplicaConnection, reusable: bool) -> None:
-        """Give a connection back after its request has ended."""
+        """Return a connection to the pool after its request has ended."""
         pool = self._pools.setdefault(instance_id, _InstancePool())
         pool.in_use = max(0, pool.in_use - 1)
         if reusable and connection.is_open and connection.is_reusable:
@@ -119,7 +128,7 @@
             connection.discard()
 
     def close_idle(self, instance_id: str) -> None:
-        """Close the idle connections of an instance, so that the next request opens a new one."""
+        """Close the idle connections of an instance; the next request opens a new one."""
         pool = self._pools.get(instance_id)
         if pool is None:
             return
@@ -128,19 +137,21 @@
         pool.idle.clear()
 
     def forget(self, instance_id: str) -> None:
-        """Close the idle connections of an instance that gets no more work."""
+        """Remove an instance that gets no more work; close its idle connections."""
         self.close_idle(instance_id)
         pool = self._pools.get(instance_id)
         if pool is not None and pool.in_use == 0:
             del self._pools[instance_id]
 
     async def sweep(self) -> None:
-        """Close connections that have been idle too long, until cancelled."""
+        """Close connections whose idle time has expired, until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = self._loop.time()
             for pool in self._pools.values():
-                kept = [item for item in pool.idle if item.is_open and now_s < item.idle_until_s]
+                kept = [
+                    item for item in pool.idle if item.is_open and now_s < item.idle_expires_at_s
+                ]
                 for connection in pool.idle:
                     if connection not in kept:
                         connection.discard()
--- a/src/crowsill/gateway/ready_server.py
+++ b/src/crowsill/gateway/ready_server.py
@@ -1,7 +1,7 @@
-"""Answers the balancer's question whether this process is ready, and serves its metrics.
+"""Serves the readiness check of load balancers, and the metrics of this process.
 
-A few lines over `httptools` in place of an application server: the question comes every second
-from every balancer, and an application server costs start time and memory on small machines.
+It uses `httptools` directly, since every load balancer sends a check each second. An application
+server would cost start time and memory on small machines.
 """
 
 import asyncio
@@ -53,11 +53,11 @@
             (b"Content-Type", b"text/plain; charset=utf-8"),
             (b"Content-Length", b"%d" % len(body)),
         ]
-        keeps = self._parser.should_keep_alive()
-        if not keeps:
+        keep_alive = self._parser.should_keep_alive()
+        if not keep_alive:
             headers.append((b"Connection", b"close"))
         self._transport.write(encode_head(status, reason, headers) + body)
-        if not keeps:
+        if not keep_alive:
             self._transport.close()
 
 
@@ -70,7 +70,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Listen; return the port."""
+        """Open the listener; return its port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _ReadyConnection(self._is_ready), self._listen.host, self._listen.port
@@ -79,6 +79,6 @@
         return bound
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Close the listener."""
         if self._server is not None:
             self._server.close()
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -1,8 +1,8 @@
-"""A connection to a replica: one request at a time, and no trust in what comes back.
+"""A connection to a replica: one request at a time, with validation of the response.
 
-What a replica sends is checked before any of it reaches a caller: the id of the request that it
-answers, the framing, and that nothing follows a whole answer. A connection on which anything was
-out of order is never used again.
+Before any byte is relayed, the connection checks the request id of the response and its framing. It
+also checks that nothing follows a complete response. After any violation the connection is not
+reused.
 """
 
 import asyncio
@@ -13,14 +13,14 @@
 
 from crowsill.gateway.headers import HeaderNames, Headers, find_header, read_number
 
-# A replica that tells no time keeps idle connections open.
+# Idle time of a connection whose replica sends no `Keep-Alive: timeout`.
 DEFAULT_IDLE_S = 60.0
 IDLE_MARGIN_S = 1.0
-SHORT_IDLE_SHARE = 0.5
+MAX_IDLE_MARGIN_SHARE = 0.5
 
 
 class Break(StrEnum):
-    """Why an answer did not come whole."""
+    """Why a response broke off."""
 
     CLOSED = "closed"
     RESET = "reset"
@@ -29,28 +29,28 @@
 
 
 class ResponseSink(Protocol):
-    """Receives one answer."""
+    """Receives one response."""
 
     def on_head(self, status: int, reason: bytes, headers: Headers) -> None:
-        """The head came; it carries the id of the request."""
+        """Handle the head; if it carries a request id, that id matches the request."""
 
     def on_data(self, data: bytes) -> None:
-        """A piece of the body came."""
+        """Handle a piece of the body."""
 
     def on_end(self) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete response."""
 
     def on_break(self, reason: Break) -> None:
-        """The answer will not come whole."""
+        """Handle a response that broke off."""
 
 
 class ReplicaConnection(asyncio.Protocol):
     """One connection to one instance.
 
     Attributes:
-        is_open: Whether it has not ended.
+        is_open: Whether the connection is open.
         is_reusable: Whether another request may be sent on it.
-        idle_until_s: Clock until which the replica keeps it open while idle.
+        idle_expires_at_s: Monotonic time until which it may be reused while idle.
     """
 
     def __init__(self, names: HeaderNames) -> None:
@@ -62,43 +62,43 @@
         self._request_id = b""
         self._is_head_request = False
         self._ends_with_connection = False
-        self._clean_end = False
-        self._skips = False
+        self._received_eof = False
+        self._is_skipping_response = False
         self.is_open = True
         self.is_reusable = True
-        self.idle_until_s = 0.0
+        self.idle_expires_at_s = 0.0
         self._reset_message()
 
     def _reset_message(self) -> None:
         self._reason = b""
         self._headers: Headers = []
-        self._complete = False
+        self._has_complete_response = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Keep the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection ended."""
+        """End the response in progress: complete if the close delimits its body, else broken."""
         self.is_open = False
         self.is_reusable = False
         if self._sink is None:
             return
-        if self._ends_with_connection and self._clean_end and exc is None:
+        if self._ends_with_connection and self._received_eof and exc is None:
             self._deliver_end()
             return
         self._deliver_break(Break.RESET if exc is not None else Break.CLOSED)
 
     def eof_received(self) -> bool:
-        """The replica sends no more."""
-        self._clean_end = True
+        """Note that the replica closed its side in an orderly way."""
+        self._received_eof = True
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came in."""
+        """Parse received bytes."""
         if self._sink is None:
-            # Bytes that belong to no request: whatever follows cannot be told apart.
+            # Bytes without a request: later responses could not be matched to their requests.
             self.discard()
             return
         try:
@@ -119,17 +119,24 @@
     def send(
         self, message: bytes, request_id: bytes, is_head_request: bool, sink: ResponseSink
     ) -> None:
-        """Send a request; its answer goes to `sink`."""
+        """Send a request.
+
+        Args:
+            message: The complete HTTP request.
+            request_id: Id that the response must repeat, if it carries one.
+            is_head_request: Whether the method is HEAD, so that the response has no body.
+            sink: Receives the response.
+        """
         self._sink = sink
         self._request_id = request_id
         self._is_head_request = is_head_request
         self._ends_with_connection = False
-        self._complete = False
+        self._has_complete_response = False
         if self._transport is not None:
             self._transport.write(message)
 
     def pause_reading(self, paused: bool) -> None:
-        """Stop or go on reading, as the caller can take the bytes."""
+        """Pause or resume reading, as the caller can accept bytes."""
         if self._transport is None or not self.is_open or self._transport.is_closing():
             return
         if paused:
@@ -138,42 +145,42 @@
             self._transport.resume_reading()
 
     def discard(self) -> None:
-        """End the connection at once; a request under way on it is given up."""
+        """Abort the connection; a request in flight on it gets no further callbacks."""
         self._sink = None
         self.is_reusable = False
         self.is_open = False
         if self._transport is not None:
             self._transport.abort()
 
-    # Parser side.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
-        if self._complete:
-            # A second answer in the bytes behind a whole one.
+        """Start a response."""
+        if self._has_complete_response:
+            # A second response follows a complete one.
             self.is_reusable = False
         self._reset_message()
 
     def on_status(self, reason: bytes) -> None:
-        """The reason phrase."""
+        """Append a piece of the reason phrase."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """Check the head of a response and pass it to the sink."""
         status = self._parser.get_status_code()
         if self._sink is None or status < 200:
             return
         echoed = find_header(self._headers, self._names.request_id)
         if echoed is not None and echoed != self._request_id:
-            # A late answer to an earlier request stands where this one is due.
-            self._skips = True
+            # A late response to an earlier request arrived in place of the expected one.
+            self._is_skipping_response = True
             self.is_reusable = False
             return
-        self._skips = False
+        self._is_skipping_response = False
         framed = find_header(self._headers, b"content-length") is not None
         chunked = find_header(self._headers, b"transfer-encoding") is not None
         self._ends_with_connection = not (framed or chunked)
@@ -186,28 +193,28 @@
             self._deliver_end()
 
     def _note_idle_time(self) -> None:
-        told = find_header(self._headers, b"keep-alive")
+        keep_alive = find_header(self._headers, b"keep-alive")
         idle_s = DEFAULT_IDLE_S
-        if told is not None:
-            for word in told.split(b","):
-                key, _, value = word.strip().partition(b"=")
+        if keep_alive is not None:
+            for parameter in keep_alive.split(b","):
+                key, _, value = parameter.strip().partition(b"=")
                 if key.lower() == b"timeout":
                     idle_s = read_number(value) or 0.0
-        margin_s = min(IDLE_MARGIN_S, idle_s * SHORT_IDLE_SHARE)
-        self.idle_until_s = self._loop.time() + idle_s - margin_s
+        margin_s = min(IDLE_MARGIN_S, idle_s * MAX_IDLE_MARGIN_SHARE)
+        self.idle_expires_at_s = self._loop.time() + idle_s - margin_s
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body."""
-        if self._sink is not None and not self._skips:
+        """Pass a piece of the body to the sink."""
+        if self._sink is not None and not self._is_skipping_response:
             self._sink.on_data(data)
 
     def on_message_complete(self) -> None:
-        """An answer is whole."""
-        self._complete = True
+        """End a complete response."""
+        self._has_complete_response = True
         if self._parser.get_status_code() < 200:
             return
-        if self._skips:
-            self._skips = False
+        if self._is_skipping_response:
+            self._is_skipping_response = False
             return
         if self._sink is not None:
             self._deliver_end()
--- a/src/crowsill/gateway/request.py
+++ b/src/crowsill/gateway/request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, read whole."""
+"""A complete request of a caller and the fields that the gateway reads from its headers."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt that other requests may share."""
+    """A part of a prompt that other requests may share."""
 
     part_id: bytes
     tokens: int
@@ -15,24 +15,24 @@
 
 @dataclass(slots=True)
 class CallerRequest:
-    """A request as the caller sent it, with what the gateway read out of it.
+    """A request as the caller sent it, with the values of its headers.
 
     Attributes:
         method: HTTP method.
         target: Path and query as sent.
         headers: All headers as sent.
-        body: The whole body.
-        keep_alive: Whether the caller's connection may be used again.
-        arrived_at_s: Clock when the last byte was read.
-        host: `Host` without a port, lower-case.
+        body: The complete body.
+        keep_alive: Whether the caller's connection may be reused.
+        arrived_at_s: Monotonic time at which the last byte was read.
+        host: `Host` without the port, lower-case.
         path: Path without the query.
-        request_id: The caller's id of this request; empty when there is none.
-        wait_ms: How long the caller will wait, or None.
-        model: Model it needs; empty for a plain service.
-        adapter: Adapter of that model; empty when there is none.
-        prompt_tokens: Tokens of its prompt.
-        output_tokens: Most tokens out.
-        parts: Parts of its prompt, in order.
+        request_id: The caller's id of the request; empty without one.
+        wait_ms: How long the caller waits for the response, or None.
+        model: Model that the request needs; empty for a plain service.
+        adapter: Adapter of the model; empty without one.
+        prompt_tokens: Number of tokens of the prompt.
+        output_tokens: Maximum number of tokens of the output.
+        parts: Parts of the prompt, in order.
     """
 
     method: bytes
@@ -53,12 +53,12 @@
 
     @property
     def resource(self) -> str:
-        """What a replica must hold to run it: `model`, `model/adapter`, or nothing."""
+        """The resource that a replica needs to run it: `model`, `model/adapter`, or empty."""
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
 
-def interpret(request: CallerRequest, names: HeaderNames) -> CallerRequest:
-    """Fill in what the headers say; values that cannot be read count as absent."""
+def read_headers(request: CallerRequest, names: HeaderNames) -> CallerRequest:
+    """Set the fields that come from headers; values that can't be parsed count as absent."""
     headers = request.headers
     host = find_header(headers, b"host") or b""
     request.host = _without_port(host.decode("latin-1")).lower()
--- a/src/crowsill/gateway/response.py
+++ b/src/crowsill/gateway/response.py
@@ -1,4 +1,4 @@
-"""Writing answers to a caller's connection: heads, framing, and the gateway's own refusals."""
+"""Encodes responses to callers: heads, chunks, and the gateway's own error responses."""
 
 import http
 
@@ -9,7 +9,7 @@
 
 
 def encode_head(status: int, reason: bytes, headers: Headers) -> bytes:
-    r"""Encode an answer's status line and headers.
+    r"""Encode the status line and headers of a response.
 
     >>> encode_head(200, b"OK", [(b"A", b"1")])
     b'HTTP/1.1 200 OK\r\nA: 1\r\n\r\n'
@@ -21,7 +21,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    r"""Encode one chunk of a body without a length.
+    r"""Encode one chunk of a chunked body.
 
     >>> encode_chunk(b"abc")
     b'3\r\nabc\r\n'
@@ -35,14 +35,14 @@
 def encode_problem(
     problem: Problem, request_id: bytes, id_header: bytes, close: bool, retry_after_s: float | None
 ) -> bytes:
-    """Encode a refusal or failure of the gateway's own.
+    """Encode an error response of the gateway itself.
 
     Args:
-        problem: What is wrong; its kind selects status and body.
-        request_id: The caller's id, repeated if there is one.
-        id_header: Name of the header that carries it.
-        close: Whether the connection ends with this answer.
-        retry_after_s: Overrides when the caller should come back, in seconds and fractions.
+        problem: The error; its kind selects status and body.
+        request_id: The caller's id of the request, repeated if there is one.
+        id_header: Name of the header that carries the id.
+        close: Whether the connection closes after this response.
+        retry_after_s: Overrides `Retry-After`, in seconds and fractions.
     """
     answer = problem.answer
     body = error_body(problem, request_id.decode("latin-1"))
