--- a/src/crowsill/backends/http_calls.py
+++ b/src/crowsill/backends/http_calls.py
@@ -31,7 +31,7 @@
 from crowsill.model.configuration import Urgency
 from crowsill.model.fleet import ReplicaDescription
 from crowsill.model.request import ClassifiedRequest
-from crowsill.routing.retry_after import REJECTION_STATUSES, read_longest_delay_s
+from crowsill.routing.retry_after import REJECTION_STATUSES, parse_longest_delay_s
 
 CONNECT_TIMEOUT_S = 1.0
 CANCEL_TIMEOUT_S = 1.0
@@ -163,7 +163,7 @@
     """Return for how long a back end that turns a request away wants no other one."""
     if response.status not in REJECTION_STATUSES:
         return 0.0
-    rest_s, _ = read_longest_delay_s(response.headers.getall("Retry-After", []), wall_s())
+    rest_s, _ = parse_longest_delay_s(response.headers.getall("Retry-After", []), wall_s())
     return rest_s
 
 
--- a/src/crowsill/cli/client.py
+++ b/src/crowsill/cli/client.py
@@ -10,7 +10,7 @@
 
 from crowsill.clock import wall_s
 from crowsill.errors import ErrorBody, ErrorKind
-from crowsill.routing.retry_after import read_longest_delay_s
+from crowsill.routing.retry_after import parse_longest_delay_s
 
 T = TypeVar("T")
 REQUEST_TIMEOUT_S = 10.0
@@ -81,7 +81,7 @@
                 if answer is not None:
                     return answer
                 last = f"{member}: no leader"
-                delay_s, _ = read_longest_delay_s(told, wall_s())
+                delay_s, _ = parse_longest_delay_s(told, wall_s())
                 await asyncio.sleep(min(LONGEST_RETRY_S, max(RETRY_S, delay_s)))
         return Failure(last)
 
--- a/src/crowsill/entry/cache_watch.py
+++ b/src/crowsill/entry/cache_watch.py
@@ -45,7 +45,7 @@
             return
         if state.description.kind is not ReplicaKind.ENGINE:
             return
-        position = self._hints.position(replica_id)
+        position = self._hints.last_event(replica_id)
         answered = await self._port.cache_events(state.description, position)
         if isinstance(answered, Success) and answered.unwrap().events:
-            self._hints.take(replica_id, answered.unwrap())
+            self._hints.apply(replica_id, answered.unwrap())
--- a/src/crowsill/gateway/replica_signals.py
+++ b/src/crowsill/gateway/replica_signals.py
@@ -9,7 +9,7 @@
 
 from crowsill.gateway.headers import HeaderNames, Headers, all_values, find_header, read_number
 from crowsill.routing.advertised_limit import read_limit_per_s
-from crowsill.routing.retry_after import REJECTION_STATUSES, read_longest_delay_s
+from crowsill.routing.retry_after import REJECTION_STATUSES, parse_longest_delay_s
 
 RETRY_AFTER = b"retry-after"
 LONGEST_UNREAD = 80
@@ -76,7 +76,7 @@
     backoff_s = 0.0
     if status in REJECTION_STATUSES:
         values = [value.decode("latin-1") for value in all_values(headers, RETRY_AFTER)]
-        backoff_s, wrong = read_longest_delay_s(values, wall_s)
+        backoff_s, wrong = parse_longest_delay_s(values, wall_s)
         unread.extend(f"Retry-After: {value}" for value in wrong)
     told = [value.strip() for name in names.leaving for value in all_values(headers, name)]
     unread.extend(f"leaving: {value.decode('latin-1')}" for value in told if value != _LEAVES)
--- a/src/crowsill/pipeline/admit.py
+++ b/src/crowsill/pipeline/admit.py
@@ -196,14 +196,14 @@
             return
         now_s = monotonic_s()
 
-        def try_place(ticket: Ticket[asyncio.Future[Result[Slot, Problem]]]) -> bool:
+        def try_dispatch(ticket: Ticket[asyncio.Future[Result[Slot, Problem]]]) -> bool:
             slot = self._try_slot(ticket.request, frozenset(), now_s)
             if slot is None:
                 return False
             ticket.value.set_result(Success(slot))
             return True
 
-        self._queues.place(try_place)
+        self._queues.dispatch(try_dispatch)
         self._count_queued()
 
     async def sweep(self) -> None:
--- a/src/crowsill/routing/affinity.py
+++ b/src/crowsill/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Prefix affinity: the same prompt start goes to the same replica, whose cache holds it.
+"""Prefix affinity: prompts with the same prefix go to the same replica, whose cache holds it.
 
 Rendezvous hashing (Thaler and Ravishankar, 1998) with bounded load (Mirrokni, Thorup and
 Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2018).
@@ -8,12 +8,14 @@
 
 import xxhash
 
+# Length of the prompt prefix that is hashed, in bytes.
 PREFIX_BYTES = 512
-LOAD_BOUND = 1.25
+# Upper bound of a replica's load, relative to the mean load of all candidates.
+LOAD_BOUND_FACTOR = 1.25
 
 
 def prefix_hash(resource: str, prompt: bytes) -> int:
-    """Return a hash of the resource and the start of the prompt; never 0."""
+    """Return a hash of the resource and the prompt prefix; never 0."""
     digest = xxhash.xxh3_64_intdigest(prompt[:PREFIX_BYTES], seed=len(resource))
     return xxhash.xxh3_64_intdigest(resource.encode(), seed=digest) or 1
 
@@ -28,9 +30,14 @@
 
 
 def within_bound(load: int, total: int, replicas: int) -> bool:
-    """Whether a replica with `load` may take one more, given the load of all candidates.
+    """Whether a replica with `load` requests may get one more.
+
+    Args:
+        load: Requests at the replica.
+        total: Requests at all candidates.
+        replicas: Number of candidates.
 
     >>> within_bound(load=4, total=4, replicas=2), within_bound(load=2, total=4, replicas=2)
     (False, True)
     """
-    return load + 1 <= LOAD_BOUND * (total + 1) / replicas + 1
+    return load + 1 <= LOAD_BOUND_FACTOR * (total + 1) / replicas + 1
--- a/src/crowsill/routing/cache_hints.py
+++ b/src/crowsill/routing/cache_hints.py
@@ -1,7 +1,7 @@
-"""What engines' prompt caches hold, as far as their lossy events tell. Pure.
+"""Likely contents of the engines' prompt caches, from cache events that may be lost. Pure.
 
-A hint only changes the order of preference, so a wrong one costs a cache miss and nothing else. A
-gap in the numbering, or a new incarnation, drops everything known of that engine.
+A hint only changes the order of preference, so a wrong hint costs a cache miss and nothing else.
+A gap in the event numbers or a new incarnation discards all hints of that engine.
 """
 
 from collections import OrderedDict
@@ -13,50 +13,52 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _CachedPrefixes:
     incarnation: str = ""
-    last: int = 0
+    last_event: int = 0
     prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
 
 class CacheHints:
-    """Prefixes by replica."""
+    """Prefixes that the caches probably hold, by replica."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
+        self._cached: dict[str, _CachedPrefixes] = {}
 
-    def position(self, replica_id: str) -> int:
-        """Number of the last event taken in; the next events are asked for after it."""
-        known = self._known.get(replica_id)
-        return 0 if known is None else known.last
+    def last_event(self, replica_id: str) -> int:
+        """Return the number of the last applied event; the next request starts after it."""
+        cached = self._cached.get(replica_id)
+        return 0 if cached is None else cached.last_event
 
-    def take(self, replica_id: str, events: CacheEvents) -> bool:
-        """Take in events.
+    def apply(self, replica_id: str, events: CacheEvents) -> bool:
+        """Apply cache events of a replica.
 
         Returns:
-            False when a gap or a restart made everything known before worthless.
+            False if a gap or a restart discarded all earlier hints of the replica.
         """
-        known = self._known.setdefault(replica_id, _Known(events.incarnation))
-        continues = known.incarnation == events.incarnation and events.first == known.last + 1
+        cached = self._cached.setdefault(replica_id, _CachedPrefixes(events.incarnation))
+        continues = (
+            cached.incarnation == events.incarnation and events.first == cached.last_event + 1
+        )
         if not continues:
-            known.prefixes.clear()
-            known.incarnation = events.incarnation
+            cached.prefixes.clear()
+            cached.incarnation = events.incarnation
         for event in events.events:
             if event.stored:
-                known.prefixes[event.prefix] = None
-                known.prefixes.move_to_end(event.prefix)
+                cached.prefixes[event.prefix] = None
+                cached.prefixes.move_to_end(event.prefix)
             else:
-                known.prefixes.pop(event.prefix, None)
-        while len(known.prefixes) > MAX_PREFIXES_PER_REPLICA:
-            known.prefixes.popitem(last=False)
-        known.last = events.first + len(events.events) - 1
+                cached.prefixes.pop(event.prefix, None)
+        while len(cached.prefixes) > MAX_PREFIXES_PER_REPLICA:
+            cached.prefixes.popitem(last=False)
+        cached.last_event = events.first + len(events.events) - 1
         return continues
 
     def holds(self, replica_id: str, prefix: int) -> bool:
-        """Whether a replica's cache probably holds a prefix."""
-        known = self._known.get(replica_id)
-        return known is not None and prefix in known.prefixes
+        """Whether the cache of a replica probably holds a prefix."""
+        cached = self._cached.get(replica_id)
+        return cached is not None and prefix in cached.prefixes
 
     def forget(self, replica_id: str) -> None:
-        """Drop a replica that is gone."""
-        self._known.pop(replica_id, None)
+        """Drop the hints of a replica that is gone."""
+        self._cached.pop(replica_id, None)
--- a/src/crowsill/routing/candidates.py
+++ b/src/crowsill/routing/candidates.py
@@ -1,17 +1,18 @@
-"""Which replicas can answer for a resource, from the fleet view and what calls have shown."""
+"""Replicas that can serve a resource, by the fleet view and by the results of calls."""
 
 from dataclasses import dataclass
 
 from crowsill.model.fleet import FleetView, ReplicaKind, ReplicaState
 
-CORRECTION_S = 3.0
+# Time for which a replica's own response overrides the fleet view, in seconds.
+CORRECTION_LIFETIME_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Correction:
-    """A replica said that it does not hold the resource; believed until `until_s`."""
+    """A replica's response that it doesn't hold a resource; valid until `expires_at_s`."""
 
-    until_s: float
+    expires_at_s: float
 
 
 class CandidateIndex:
@@ -21,20 +22,21 @@
         self._holders: dict[str, list[ReplicaState]] = {}
         self._pools: dict[str, list[ReplicaState]] = {}
         self._corrections: dict[tuple[str, str], _Correction] = {}
-        self._leaving: dict[str, str] = {}
+        # Incarnation that reported that it drains, by replica.
+        self._draining: dict[str, str] = {}
 
     def rebuild(self, fleet: FleetView) -> None:
-        """Index the fleet anew."""
+        """Rebuild the index from the fleet view."""
         self._holders = {}
         self._pools = {}
         for state in fleet.replicas.values():
             self._index(state)
-        known = {
+        listed = {
             replica_id: incarnation
-            for replica_id, incarnation in self._leaving.items()
+            for replica_id, incarnation in self._draining.items()
             if replica_id in fleet.replicas
         }
-        self._leaving = known
+        self._draining = listed
 
     def _index(self, state: ReplicaState) -> None:
         if not state.accepts_work:
@@ -46,34 +48,34 @@
                 self._holders.setdefault(resource, []).append(state)
 
     def note_not_resident(self, replica_id: str, resource: str, now_s: float) -> None:
-        """Believe a replica that said it does not hold a resource."""
-        self._corrections[(replica_id, resource)] = _Correction(now_s + CORRECTION_S)
+        """Exclude a replica for a resource that it reported not to hold, for a short time."""
+        self._corrections[(replica_id, resource)] = _Correction(now_s + CORRECTION_LIFETIME_S)
 
     def note_draining(self, state: ReplicaState) -> None:
-        """Believe a replica that said it is leaving, for as long as this incarnation lives."""
+        """Exclude a replica that reported that it drains, until it has a new incarnation."""
         replica_id = state.description.replica_id
-        self._leaving[replica_id] = state.report.incarnation
+        self._draining[replica_id] = state.report.incarnation
 
     def for_model(self, resource: str, now_s: float) -> list[ReplicaState]:
-        """Return the engines that answer for a model or adapter."""
+        """Return the engines that can serve a model or adapter."""
         holders = self._holders.get(resource, [])
         return [state for state in holders if self._usable(state, resource, now_s)]
 
     def for_pool(self, pool: str) -> list[ReplicaState]:
         """Return all replicas of a pool that accept work."""
-        return [state for state in self._pools.get(pool, []) if not self._is_leaving(state)]
+        return [state for state in self._pools.get(pool, []) if not self._is_draining(state)]
 
-    def _is_leaving(self, state: ReplicaState) -> bool:
-        return self._leaving.get(state.description.replica_id) == state.report.incarnation
+    def _is_draining(self, state: ReplicaState) -> bool:
+        return self._draining.get(state.description.replica_id) == state.report.incarnation
 
     def _usable(self, state: ReplicaState, resource: str, now_s: float) -> bool:
-        if self._is_leaving(state):
+        if self._is_draining(state):
             return False
         key = (state.description.replica_id, resource)
         correction = self._corrections.get(key)
         if correction is None:
             return True
-        if now_s < correction.until_s:
+        if now_s < correction.expires_at_s:
             return False
         del self._corrections[key]
         return True
--- a/src/crowsill/routing/limits.py
+++ b/src/crowsill/routing/limits.py
@@ -1,10 +1,10 @@
-"""Limits on rates and on concurrency."""
+"""Rate limits and concurrency limits."""
 
 import math
 
 
 class TokenBucket:
-    """A rate limit with a burst.
+    """A token bucket: a rate limit that allows bursts.
 
     >>> bucket = TokenBucket(rate_per_s=1.0, burst=2, now_s=0.0)
     >>> [bucket.take(0.0), bucket.take(0.0), bucket.take(0.0), bucket.take(1.0)]
@@ -15,13 +15,13 @@
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = float(burst)
-        self._filled_s = now_s
+        self._refilled_at_s = now_s
 
     def take(self, now_s: float) -> bool:
-        """Take one token; return False when there is none."""
-        gained = (now_s - self._filled_s) * self._rate_per_s
+        """Take one token; return False if there is none."""
+        gained = (now_s - self._refilled_at_s) * self._rate_per_s
         self._tokens = min(float(self._burst), self._tokens + gained)
-        self._filled_s = now_s
+        self._refilled_at_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -37,18 +37,18 @@
     headroom: float,
     urgent: bool,
 ) -> int:
-    """Return how many requests this entry may have at one replica.
+    """Return how many requests this entry may have in flight at one replica.
 
-    The replica's slots are shared among entries without talking to one another: each may use its
-    equal share at any time, and beyond it an equal share of what the last report showed as free.
-    Patient work leaves `headroom` of the replica to urgent work.
+    Entries share the slots of a replica without coordination: each may always use its equal share,
+    and beyond it an equal share of the slots that the last report showed as free. Patient requests
+    leave `headroom` of the slots to urgent ones.
 
     Args:
-        max_concurrency: Requests the replica runs at once.
+        max_concurrency: Number of requests that the replica runs at once.
         entries: Number of live entries, at least 1.
-        own_in_flight: Requests this entry has there.
-        others_in_flight: Requests of other entries there, by the last report.
-        headroom: Share of the slots that patient work leaves free.
+        own_in_flight: Requests of this entry at the replica.
+        others_in_flight: Requests of other entries at the replica, by the last report.
+        headroom: Share of the slots that patient requests leave free.
         urgent: Whether the request is urgent.
 
     >>> entry_slots(max_concurrency=8, entries=4, own_in_flight=0, others_in_flight=8,
--- a/src/crowsill/routing/retry_budget.py
+++ b/src/crowsill/routing/retry_budget.py
@@ -1,6 +1,7 @@
-"""A retry budget: retries are a bounded share of first attempts, so they cannot multiply load."""
+"""A retry budget: retries are a bounded share of first attempts, so they can't multiply load."""
 
-RESERVE_TOKENS = 10.0
+# Tokens at the start, and the upper bound.
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
@@ -12,20 +13,20 @@
     """
 
     def __init__(self, ratio: float) -> None:
-        """Make a budget.
+        """Create a full budget.
 
         Args:
-            ratio: Retries earned by each first attempt.
+            ratio: Retries that each first attempt earns.
         """
         self._ratio = ratio
-        self._tokens = RESERVE_TOKENS
+        self._tokens = MAX_TOKENS
 
     def earn(self) -> None:
-        """Note a first attempt."""
-        self._tokens = min(RESERVE_TOKENS, self._tokens + self._ratio)
+        """Add tokens for a first attempt."""
+        self._tokens = min(MAX_TOKENS, self._tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Take one retry; return False when the budget is used up."""
+        """Spend one retry; return False if the budget is used up."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/crowsill/routing/selection.py
+++ b/src/crowsill/routing/selection.py
@@ -1,8 +1,8 @@
-"""The choice of a replica: affinity while it is not overloaded, else power of two choices.
+"""Selection of a replica: by affinity unless that replica is overloaded, else by two choices.
 
 Two random candidates are compared instead of all (Mitzenmacher, "The Power of Two Choices in
-Randomized Load Balancing", 2001), because reports lag: entries that all took the least loaded
-replica would stampede it together.
+Randomized Load Balancing", 2001), because reports lag: if all entries selected the least loaded
+replica, they would overload it together.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 
 class SelectionReason(StrEnum):
-    """Why a replica was chosen."""
+    """The reason for a selection."""
 
     ONLY_CANDIDATE = "only_candidate"
     PREFIX_AFFINITY = "prefix_affinity"
@@ -31,21 +31,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Rest:
-    """A rest that one life of a replica asked for; nothing else ends it before `until_s`."""
+class _Backoff:
+    """A backoff that one incarnation of a replica asked for.
+
+    Until `ends_at_s`, only a new incarnation ends it.
+    """
 
     incarnation: str
-    until_s: float
+    ends_at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """A chosen replica.
+    """A selected replica.
 
     Attributes:
         replica: The replica.
-        reason: Why it was chosen.
-        candidates: Candidates with free slots, as `replica:load` words for the log.
+        reason: The reason for the selection.
+        candidates: Candidates with free slots, as `replica:load` pairs for the log.
     """
 
     replica: ReplicaState
@@ -54,21 +57,21 @@
 
 
 class Selector:
-    """Chooses replicas for one entry.
+    """Selects replicas for one entry.
 
     Attributes:
         loads: Load by replica.
-        hints: What prompt caches probably hold.
-        circuits: Circuit by replica.
+        hints: Prefixes that the prompt caches of replicas probably hold.
+        circuits: Circuit breaker by replica.
         entries: Number of live entries that share the replicas.
     """
 
     def __init__(self, random: Random, headroom: float) -> None:
-        """Make a selector.
+        """Create a selector.
 
         Args:
-            random: Source of random choices.
-            headroom: Share of each replica's slots that patient work leaves free.
+            random: Source of randomness.
+            headroom: Share of the slots of each replica that patient requests leave free.
         """
         self._random = random
         self._headroom = headroom
@@ -76,22 +79,23 @@
         self.hints = CacheHints()
         self.circuits: dict[str, Circuit] = {}
         self.entries = 1
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     def circuit(self, replica_id: str) -> Circuit:
-        """Return the circuit of a replica."""
+        """Return the circuit breaker of a replica."""
         return self.circuits.setdefault(replica_id, Circuit())
 
     def ended(
         self, replica_id: str, service_s: float, succeeded: bool | None, now_s: float
     ) -> None:
-        """Take note of how a request at a replica ended.
+        """Record the end of a request at a replica.
 
         Args:
             replica_id: The replica.
-            service_s: How long the request was there.
-            succeeded: Whether the replica did its part; None says nothing about its health.
-            now_s: Monotonic clock.
+            service_s: Time that the request spent at the replica, in seconds.
+            succeeded: Whether the replica worked as expected; None if the outcome shows nothing
+                about its health.
+            now_s: Monotonic time in seconds.
         """
         self.loads.ended(replica_id, service_s)
         circuit = self.circuit(replica_id)
@@ -104,23 +108,23 @@
             log_event(Event.CIRCUIT_OPENED, replica=replica_id, failures=circuit.failures)
 
     def note_backoff(self, state: ReplicaState, until_s: float) -> None:
-        """Take in that a replica wants nothing from this entry until a clock."""
+        """Record that a replica asked this entry to back off until a monotonic time."""
         replica_id = state.description.replica_id
-        until_s = max(until_s, self._rest_until_s(state))
-        self._rests[replica_id] = _Rest(state.report.incarnation, until_s)
+        until_s = max(until_s, self._backoff_ends_at_s(state))
+        self._backoffs[replica_id] = _Backoff(state.report.incarnation, until_s)
 
-    def _rest_until_s(self, state: ReplicaState) -> float:
-        rest = self._rests.get(state.description.replica_id)
-        if rest is None or rest.incarnation != state.report.incarnation:
+    def _backoff_ends_at_s(self, state: ReplicaState) -> float:
+        backoff = self._backoffs.get(state.description.replica_id)
+        if backoff is None or backoff.incarnation != state.report.incarnation:
             return float("-inf")
-        return rest.until_s
+        return backoff.ends_at_s
 
     def backoff_left_s(self, state: ReplicaState, now_s: float) -> float:
-        """Return how much longer a replica wants nothing from this entry."""
-        return max(0.0, self._rest_until_s(state) - now_s)
+        """Return the remaining backoff of a replica in seconds."""
+        return max(0.0, self._backoff_ends_at_s(state) - now_s)
 
     def slots(self, state: ReplicaState, urgent: bool) -> int:
-        """Return how many requests this entry may have at a replica."""
+        """Return how many requests this entry may have in flight at a replica."""
         load = self.loads.of(state.description.replica_id)
         return entry_slots(
             max_concurrency=state.description.max_concurrency,
@@ -132,7 +136,7 @@
         )
 
     def _has_slot(self, state: ReplicaState, urgent: bool, now_s: float) -> bool:
-        if now_s < self._rest_until_s(state):
+        if now_s < self._backoff_ends_at_s(state):
             return False
         replica_id = state.description.replica_id
         if not self.circuit(replica_id).allows(now_s):
@@ -142,32 +146,32 @@
     def select(
         self, request: ClassifiedRequest, candidates: list[ReplicaState], now_s: float
     ) -> Selection | None:
-        """Choose among candidates.
+        """Select one of the candidates.
 
         Args:
             request: The request.
-            candidates: Replicas that can answer it.
-            now_s: Monotonic clock.
+            candidates: Replicas that can run it.
+            now_s: Monotonic time in seconds.
 
         Returns:
-            The choice, or None while no candidate has a free slot.
+            The selection, or None if no candidate has a free slot.
         """
         urgent = request.urgency is Urgency.URGENT
         free = [state for state in candidates if self._has_slot(state, urgent, now_s)]
         if not free:
             return None
         if len(free) == 1:
-            return self._choice(free[0], SelectionReason.ONLY_CANDIDATE, free)
+            return self._selection(free[0], SelectionReason.ONLY_CANDIDATE, free)
         if request.prefix_hash:
-            preferred = self._preferred(request.prefix_hash, free)
+            preferred = self._select_by_prefix(request.prefix_hash, free)
             if preferred is not None:
                 return preferred
         first, second = self._random.sample(free, 2)
         better = min(first, second, key=self._relative_load)
-        return self._choice(better, SelectionReason.LESS_LOADED_OF_TWO, free)
+        return self._selection(better, SelectionReason.LESS_LOADED_OF_TWO, free)
 
-    def _preferred(self, prefix: int, free: list[ReplicaState]) -> Selection | None:
-        """A replica whose cache probably holds the prefix, unless it has too much to do."""
+    def _select_by_prefix(self, prefix: int, free: list[ReplicaState]) -> Selection | None:
+        """Return a replica whose cache probably holds the prefix, or None if it is overloaded."""
         by_id = {state.description.replica_id: state for state in free}
         hinted = [name for name in by_id if self.hints.holds(name, prefix)]
         name = preferred_replica(prefix, hinted or list(by_id))
@@ -175,17 +179,17 @@
         if not within_bound(self.loads.of(name).estimate, total, len(free)):
             return None
         reason = SelectionReason.CACHE_HINT if hinted else SelectionReason.PREFIX_AFFINITY
-        return self._choice(by_id[name], reason, free)
+        return self._selection(by_id[name], reason, free)
 
     def _relative_load(self, state: ReplicaState) -> float:
         load = self.loads.of(state.description.replica_id)
         return load.estimate / state.description.max_concurrency
 
-    def _choice(
-        self, chosen: ReplicaState, reason: SelectionReason, free: list[ReplicaState]
+    def _selection(
+        self, selected: ReplicaState, reason: SelectionReason, free: list[ReplicaState]
     ) -> Selection:
-        words = [
+        pairs = [
             f"{state.description.replica_id}:{self.loads.of(state.description.replica_id).estimate}"
             for state in free[:8]
         ]
-        return Selection(chosen, reason, ",".join(words))
+        return Selection(selected, reason, ",".join(pairs))
--- a/src/crowsill/routing/shared_budget.py
+++ b/src/crowsill/routing/shared_budget.py
@@ -1,8 +1,9 @@
-"""One retry budget for all gateways: each holds its share of what the whole may spend.
+"""One retry budget for all gateways, of which each gateway spends its share.
 
-Within any window the repeats may number a share of the first attempts plus a fixed allowance.
-First attempts are counted here, so their share divides by itself; the allowance is divided by the
-number of live gateways, with a reserve for moments when that number is not yet known everywhere.
+In any window, retries are bounded by a ratio of the first attempts plus a fixed allowance. Each
+gateway counts its own first attempts, so that part needs no division. The allowance is divided by
+the number of live gateways, with a safety factor for times when not every gateway knows the
+current number yet.
 """
 
 from collections import deque
@@ -13,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetLimits:
-    """What all gateways together may spend.
+    """The retry budget of all gateways together, for one service.
 
     Attributes:
-        ratio: Repeats for each first attempt.
-        window_s: Length of the sliding window.
-        allowance: Repeats beyond the ratio in a window.
+        ratio: Retries for each first attempt.
+        window_s: Length of the sliding window, in seconds.
+        allowance: Retries in a window beyond the ratio.
     """
 
     ratio: float = 0.1
@@ -27,7 +28,7 @@
 
 
 class SharedBudget:
-    """The share of one gateway, for one service.
+    """The share of one gateway in the retry budget of one service.
 
     >>> budget = SharedBudget(BudgetLimits(ratio=0.0, allowance=10.0))
     >>> sum(budget.spend(now_s=1.0, gateways=1) for _ in range(20))
@@ -38,39 +39,41 @@
 
     def __init__(self, limits: BudgetLimits) -> None:
         self._limits = limits
-        self._first: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._first_attempts_at_s: deque[float] = deque()
+        self._retries_at_s: deque[float] = deque()
 
-    def _forget_old(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         horizon_s = now_s - self._limits.window_s
-        for times in (self._first, self._repeats):
-            while times and times[0] <= horizon_s:
-                times.popleft()
+        for times_s in (self._first_attempts_at_s, self._retries_at_s):
+            while times_s and times_s[0] <= horizon_s:
+                times_s.popleft()
 
     def earn(self, now_s: float) -> None:
-        """Note a first attempt."""
-        self._first.append(now_s)
+        """Record a first attempt."""
+        self._first_attempts_at_s.append(now_s)
 
     def left(self, now_s: float, gateways: int) -> float:
-        """Return how many repeats may still be spent now."""
-        self._forget_old(now_s)
+        """Return how many retries are left now."""
+        self._drop_expired(now_s)
         limits = self._limits
-        allowed = limits.ratio * len(self._first) + limits.allowance / max(1, gateways)
-        return allowed * SAFETY_FACTOR - len(self._repeats)
+        allowed = limits.ratio * len(self._first_attempts_at_s) + limits.allowance / max(
+            1, gateways
+        )
+        return allowed * SAFETY_FACTOR - len(self._retries_at_s)
 
     def spend(self, now_s: float, gateways: int) -> bool:
-        """Take one repeat; return False when none is left."""
+        """Spend one retry; return False if none is left."""
         if self.left(now_s, gateways) < 1.0:
             return False
-        self._repeats.append(now_s)
+        self._retries_at_s.append(now_s)
         return True
 
     def refund(self) -> None:
-        """The repeat that was taken last was not sent.
+        """Return the last retry to the budget, because it was not sent.
 
         >>> budget = SharedBudget(BudgetLimits(ratio=0.0, allowance=2.0))
         >>> budget.spend(1.0, 1), budget.spend(1.0, 1), budget.refund(), budget.spend(1.0, 1)
         (True, False, None, True)
         """
-        if self._repeats:
-            self._repeats.pop()
+        if self._retries_at_s:
+            self._retries_at_s.pop()
--- a/src/crowsill/routing/waiting.py
+++ b/src/crowsill/routing/waiting.py
@@ -1,4 +1,4 @@
-"""Bounded queues of requests that wait for a replica: pure, without clock or tasks of its own."""
+"""Bounded queues of requests that wait for a replica. Pure: without a clock or tasks."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -13,7 +13,13 @@
 
 @dataclass(eq=False, slots=True)
 class Ticket(Generic[T]):
-    """A place in a queue; `value` is what the owner waits with."""
+    """A request in a queue.
+
+    Attributes:
+        request: The request.
+        value: An object of the caller, such as the future that it awaits.
+        sequence: Order of arrival.
+    """
 
     request: ClassifiedRequest
     value: T
@@ -21,9 +27,9 @@
 
 
 class WaitingQueues(Generic[T]):
-    """First come, first served within one urgency and resource; urgent before patient.
+    """FIFO queues by urgency and resource; urgent requests go before patient ones.
 
-    Requests for one resource never hold up those for another, since their replicas differ.
+    Requests for one resource never block those for another, because their replicas differ.
     """
 
     def __init__(self, max_total: int) -> None:
@@ -32,7 +38,7 @@
             Urgency.URGENT: {},
             Urgency.PATIENT: {},
         }
-        self._by_tenant: dict[str, int] = {}
+        self._count_by_tenant: dict[str, int] = {}
         self._sequence = 0
         self._total = 0
 
@@ -40,15 +46,15 @@
         return self._total
 
     def count(self, urgency: Urgency) -> int:
-        """Return how many requests of an urgency wait."""
+        """Return the number of waiting requests of an urgency."""
         return sum(len(queue) for queue in self._queues[urgency].values())
 
     def count_tenant(self, tenant: str) -> int:
-        """Return how many requests of a tenant wait."""
-        return self._by_tenant.get(tenant, 0)
+        """Return the number of waiting requests of a tenant."""
+        return self._count_by_tenant.get(tenant, 0)
 
     def count_ahead(self, urgency: Urgency, resource: str) -> int:
-        """Return how many requests a new one would wait behind."""
+        """Return the number of requests that are served before a new one."""
         ahead = len(self._queues[Urgency.URGENT].get(resource, ()))
         if urgency is Urgency.PATIENT:
             ahead += len(self._queues[Urgency.PATIENT].get(resource, ()))
@@ -56,65 +62,66 @@
 
     @property
     def is_full_for_patient(self) -> bool:
-        """Whether no patient request fits; urgent ones may use the last tenth."""
+        """Whether patient requests are rejected; the last tenth is kept for urgent ones."""
         return self._total >= self._max_total * 0.9
 
     @property
     def is_full(self) -> bool:
-        """Whether nothing fits at all."""
+        """Whether all requests are rejected."""
         return self._total >= self._max_total
 
     def push(self, request: ClassifiedRequest, value: T) -> Ticket[T]:
-        """Append a request to its queue."""
+        """Append a request to its queue and return its ticket."""
         self._sequence += 1
         ticket = Ticket(request, value, self._sequence)
         queues = self._queues[request.urgency]
         queues.setdefault(request.resource, deque()).append(ticket)
         self._total += 1
-        self._by_tenant[request.tenant] = self.count_tenant(request.tenant) + 1
+        self._count_by_tenant[request.tenant] = self.count_tenant(request.tenant) + 1
         return ticket
 
     def remove(self, ticket: Ticket[T]) -> bool:
-        """Take a request out; return False when it was out already."""
+        """Remove a request; return False if it was removed before."""
         queues = self._queues[ticket.request.urgency]
         queue = queues.get(ticket.request.resource)
         if queue is None or ticket not in queue:
             return False
         queue.remove(ticket)
-        self._removed(ticket, queue)
+        self._update_counts(ticket, queue)
         return True
 
-    def _removed(self, ticket: Ticket[T], queue: deque[Ticket[T]]) -> None:
+    def _update_counts(self, ticket: Ticket[T], queue: deque[Ticket[T]]) -> None:
+        """Update the counts after a ticket was removed, and drop the queue if it is empty."""
         request = ticket.request
         self._total -= 1
         left = self.count_tenant(request.tenant) - 1
         if left:
-            self._by_tenant[request.tenant] = left
+            self._count_by_tenant[request.tenant] = left
         else:
-            del self._by_tenant[request.tenant]
+            del self._count_by_tenant[request.tenant]
         if not queue:
             del self._queues[request.urgency][request.resource]
 
-    def place(self, try_place: Callable[[Ticket[T]], bool]) -> None:
-        """Offer heads of queues, urgent and oldest first, until none can be placed.
+    def dispatch(self, try_dispatch: Callable[[Ticket[T]], bool]) -> None:
+        """Dispatch the heads of the queues, urgent and oldest first, until none fits.
 
         Args:
-            try_place: Places a request if a replica has room, and says whether it did.
+            try_dispatch: Assigns a request to a replica with a free slot; returns whether it did.
         """
         for urgency in (Urgency.URGENT, Urgency.PATIENT):
             for queue in self._oldest_first(urgency):
-                while queue and try_place(queue[0]):
-                    self._removed(queue.popleft(), queue)
+                while queue and try_dispatch(queue[0]):
+                    self._update_counts(queue.popleft(), queue)
 
     def _oldest_first(self, urgency: Urgency) -> list[deque[Ticket[T]]]:
         queues = list(self._queues[urgency].values())
         return sorted(queues, key=lambda queue: queue[0].sequence)
 
     def expired(self, now_s: float) -> Iterator[Ticket[T]]:
-        """Take out and yield requests whose deadline has passed."""
+        """Remove and yield the requests whose deadline has passed."""
         for queues in self._queues.values():
             for queue in list(queues.values()):
-                late = [ticket for ticket in queue if ticket.request.deadline_s <= now_s]
-                for ticket in late:
+                expired = [ticket for ticket in queue if ticket.request.deadline_s <= now_s]
+                for ticket in expired:
                     self.remove(ticket)
                     yield ticket
--- a/tests/test_cache.py
+++ b/tests/test_cache.py
@@ -1,4 +1,4 @@
-"""Prompt caches: hints from lossy events, and moving a request's state between engines."""
+"""Prompt caches: hints from lossy events, and transfer of a request's state between engines."""
 
 import asyncio
 
@@ -19,25 +19,25 @@
     return CacheEvents(incarnation, first, [CacheEvent(prefix, True) for prefix in prefixes])
 
 
-def test_hints_follow_events_and_a_gap_drops_them():
+def test_hints_follow_events_and_a_gap_discards_them():
     hints = CacheHints()
-    hints.take("a", events(1, 10, 11))
-    assert hints.holds("a", 10) and hints.position("a") == 2
-    assert hints.take("a", CacheEvents("i", 3, [CacheEvent(10, False)]))
+    hints.apply("a", events(1, 10, 11))
+    assert hints.holds("a", 10) and hints.last_event("a") == 2
+    assert hints.apply("a", CacheEvents("i", 3, [CacheEvent(10, False)]))
     assert not hints.holds("a", 10) and hints.holds("a", 11)
-    assert not hints.take("a", events(7, 12))
+    assert not hints.apply("a", events(7, 12))
     assert not hints.holds("a", 11) and hints.holds("a", 12)
-    assert not hints.take("a", events(1, 13, incarnation="j"))
-    assert not hints.holds("a", 12) and hints.position("a") == 1
+    assert not hints.apply("a", events(1, 13, incarnation="j"))
+    assert not hints.holds("a", 12) and hints.last_event("a") == 1
 
 
-def test_a_hinted_replica_is_preferred_until_it_has_too_much_to_do():
+def test_a_hinted_replica_is_preferred_until_it_is_overloaded():
     selector = Selector(Random(1), 0.0)
     states = [replica(name) for name in "abc"]
     first = selector.select(request(prefix=5), states, 0.0)
     other = next(state for state in states if state is not first.replica)
     name = other.description.replica_id
-    selector.hints.take(name, events(1, 5))
+    selector.hints.apply(name, events(1, 5))
     hinted = selector.select(request(prefix=5), states, 0.0)
     assert hinted.replica is other and hinted.reason is SelectionReason.CACHE_HINT
     for _ in range(6):
@@ -56,7 +56,7 @@
     return runner, ReplicaDescription("e", ReplicaKind.ENGINE, f"127.0.0.1:{port}", "z", "p")
 
 
-def test_a_request_goes_on_at_another_engine_with_its_state():
+def test_a_request_continues_at_another_engine_with_its_state():
     async def scenario():
         (one, first), (two, second) = await start_engine(), await start_engine()
         cache = HttpCache()
@@ -65,8 +65,8 @@
         async with aiohttp.ClientSession() as session:
             url = f"http://{first.address}/v1/completions"
             async with session.post(url, json=body, headers=headers) as response:
-                whole = await response.read()
-            known = (await cache.cache_events(first, 0)).unwrap()
+                complete = await response.read()
+            cached = (await cache.cache_events(first, 0)).unwrap()
             state = (await cache.export_kv(first, "r1")).unwrap()
             (await cache.import_kv(second, "r1", state)).unwrap()
             async with session.get(f"http://{second.address}/v1/streams/r1") as response:
@@ -74,8 +74,8 @@
         await cache.close()
         await one.cleanup()
         await two.cleanup()
-        return whole, continued, known
+        return complete, continued, cached
 
-    whole, continued, known = asyncio.run(scenario())
-    assert whole == continued
-    assert known.first == 1 and known.events == [CacheEvent(77, True)]
+    complete, continued, cached = asyncio.run(scenario())
+    assert complete == continued
+    assert cached.first == 1 and cached.events == [CacheEvent(77, True)]
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The pure routing decisions."""
+"""Routing decisions without I/O: candidates, slots, selection, circuits, budgets and queues."""
 
 from random import Random
 
@@ -22,9 +22,9 @@
 from crowsill.routing.waiting import WaitingQueues
 
 
-def replica(name, resident=("m",), leaving=False, slots=8):
+def replica(name, resident=("m",), draining=False, slots=8):
     description = ReplicaDescription(
-        name, ReplicaKind.ENGINE, "127.0.0.1:1", "z", "p", 100, slots, draining=leaving
+        name, ReplicaKind.ENGINE, "127.0.0.1:1", "z", "p", 100, slots, draining=draining
     )
     return ReplicaState(description, ReplicaReport("i", list(resident)))
 
@@ -52,7 +52,9 @@
     strategies.integers(0, 80),
     strategies.floats(0, 0.9),
 )
-def test_slots_are_at_least_one_and_urgent_gets_no_fewer(slots, entries, own, others, headroom):
+def test_slots_are_at_least_one_and_urgent_requests_get_no_fewer(
+    slots, entries, own, others, headroom
+):
     given_slots = [
         entry_slots(
             max_concurrency=slots,
@@ -68,7 +70,7 @@
     assert given_slots[0] <= max(1, slots)
 
 
-def test_equal_shares_never_pass_the_replica():
+def test_equal_shares_never_exceed_the_slots_of_the_replica():
     for entries in range(1, 9):
         share = entry_slots(
             max_concurrency=16,
@@ -82,11 +84,11 @@
 
 
 def test_only_replicas_that_hold_the_model_are_candidates():
-    index = index_of(replica("a"), replica("b", ["other"]), replica("c", leaving=True))
+    index = index_of(replica("a"), replica("b", ["other"]), replica("c", draining=True))
     assert [state.description.replica_id for state in index.for_model("m", 0.0)] == ["a"]
 
 
-def test_corrections_by_the_replicas_themselves():
+def test_responses_of_replicas_correct_the_fleet_view():
     first, second = replica("a"), replica("b")
     index = index_of(first, second)
     index.note_not_resident("a", "m", 0.0)
@@ -97,7 +99,7 @@
     assert index.for_pool("p") == [first]
 
 
-def test_prefixes_stay_together_until_the_replica_is_overloaded():
+def test_a_prefix_stays_at_its_replica_until_the_replica_is_overloaded():
     selector = Selector(Random(1), 0.0)
     states = [replica(name) for name in "abc"]
     first = selector.select(request(prefix=42), states, 0.0)
@@ -111,7 +113,7 @@
     assert moved.replica is not first.replica
 
 
-def test_patient_work_leaves_headroom_for_urgent_work():
+def test_patient_requests_leave_headroom_for_urgent_ones():
     selector = Selector(Random(1), headroom=0.5)
     only = [replica("a", slots=4)]
     for _ in range(2):
@@ -121,7 +123,7 @@
     assert selector.select(request(Urgency.URGENT), only, 0.0) is not None
 
 
-def test_a_circuit_opens_tries_again_and_closes():
+def test_a_circuit_opens_probes_and_closes():
     circuit = Circuit()
     opened = [circuit.failed(0.0) for _ in range(FAILURES_TO_OPEN)]
     assert opened == [False] * (FAILURES_TO_OPEN - 1) + [True]
@@ -152,11 +154,11 @@
         queues.push(request(urgency, f"m{resource}"), number)
     served = []
 
-    def place(ticket):
+    def dispatch(ticket):
         served.append(ticket)
         return True
 
-    queues.place(place)
+    queues.dispatch(dispatch)
     assert len(queues) == 0 and len(served) == len(arrivals)
     urgencies = [ticket.request.urgency for ticket in served]
     assert urgencies == sorted(urgencies, key=lambda urgency: urgency is Urgency.PATIENT)
@@ -170,7 +172,7 @@
             assert numbers == sorted(numbers)
 
 
-def test_expired_requests_leave_the_queue():
+def test_expired_requests_are_removed_from_the_queue():
     queues = WaitingQueues(10)
     queues.push(request(deadline_s=1.0), "early")
     queues.push(request(deadline_s=5.0), "late")
