--- a/src/crowsill/control/abandonment.py
+++ b/src/crowsill/control/abandonment.py
@@ -1,4 +1,4 @@
-"""Claims whose holder has vanished: their outcome is lost for good."""
+"""Abandons claims whose holder is lost: their outcome can no longer be known."""
 
 import asyncio
 
@@ -10,31 +10,33 @@
 from crowsill.state.commands import AbandonHolders
 from crowsill.state.machine import StateMachine
 
-# An entry that was cut off comes back, or restarts under another name, well within this.
+# An entry that was cut off reconnects, or restarts under another name, well within this time.
 ABANDON_AFTER_S = 30.0
-ABANDON_CHECK_S = 1.0
+ABANDON_CHECK_INTERVAL_S = 1.0
 
 
 async def abandon_lost_claims(
     service: MemberService, machine: StateMachine, driver: ConsensusDriver
 ) -> None:
-    """Declare the open claims of entries unheard of for long to be of unknown outcome.
+    """Mark the open claims of entries that have long been silent as of unknown outcome.
 
     Runs on the leader until cancelled.
     """
-    last_seen_s: dict[str, float] = {}
+    last_seen_at_s: dict[str, float] = {}
     while True:
-        await asyncio.sleep(ABANDON_CHECK_S)
+        await asyncio.sleep(ABANDON_CHECK_INTERVAL_S)
         now_s = monotonic_s()
         live = {status.incarnation for status in service.reports.live_entries.live(now_s)}
         holders = machine.claims.open_holders()
-        last_seen_s = {
-            holder: now_s if holder in live else last_seen_s.get(holder, now_s)
+        last_seen_at_s = {
+            holder: now_s if holder in live else last_seen_at_s.get(holder, now_s)
             for holder in holders
         }
-        vanished = [
-            holder for holder, seen_s in last_seen_s.items() if now_s - seen_s > ABANDON_AFTER_S
+        lost_holders = [
+            holder
+            for holder, seen_at_s in last_seen_at_s.items()
+            if now_s - seen_at_s > ABANDON_AFTER_S
         ]
-        if vanished:
-            log_event(Event.CLAIM_ABANDONED, holders=",".join(vanished))
-            await driver.submit(AbandonHolders(vanished, 0.0))
+        if lost_holders:
+            log_event(Event.CLAIM_ABANDONED, holders=",".join(lost_holders))
+            await driver.submit(AbandonHolders(lost_holders, 0.0))
--- a/src/crowsill/control/operations.py
+++ b/src/crowsill/control/operations.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result, Success
 
 from crowsill.clock import monotonic_s
-from crowsill.control.replica_overview import RegisteredReplicaLine, overview
+from crowsill.control.replica_overview import RegisteredReplicaLine, replica_lines
 from crowsill.control.service import MemberService
 from crowsill.errors import ErrorKind, Problem
 from crowsill.model.configuration import (
@@ -229,7 +229,7 @@
             return Failure(Problem(ErrorKind.NO_LEADER, "this member does not lead"))
         entries = self._service.reports.live_entries.live(monotonic_s())
         limits = self._service.reports.replica_grants.limits
-        return Success(overview(self._machine.directory, entries, limits))
+        return Success(replica_lines(self._machine.directory, entries, limits))
 
     async def lift(self, request: LiftRequest) -> Result[LiftResponse, Problem]:
         """Clear the crashes recorded for one request, here or through the leader."""
--- a/src/crowsill/control/placers.py
+++ b/src/crowsill/control/placers.py
@@ -52,9 +52,9 @@
         routes=member.routes,
         collect_demand=service.reports.demand.collect,
         collect_urgent=service.reports.urgent.collect,
-        collect_overloaded=service.reports.pressed.collect,
+        collect_overloaded=service.reports.overloaded.collect,
         heartbeat_s=control.replica_heartbeat_s,
-        limit_of=service.reports.replica_grants.limit_of,
+        limit_of=service.reports.replica_grants.limit_per_s_of,
     )
     return ModelPlacer(
         ports,
--- a/src/crowsill/control/quarantine_expiry.py
+++ b/src/crowsill/control/quarantine_expiry.py
@@ -1,4 +1,4 @@
-"""Ends what replicas' ends count against requests, after a time."""
+"""Expires the crashes recorded against requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,12 +14,12 @@
 async def expire_suspects(
     record: CrashRecord, submit: Callable[[ClearSuspects], Awaitable[Body]], quarantine_s: float
 ) -> None:
-    """Have suspects forgotten whose last end is long ago, while this member leads.
+    """Clear suspects whose last crash is long ago, while this member leads.
 
     Args:
-        record: What is recorded, as far as it is applied here.
-        submit: Has a command committed.
-        quarantine_s: Time after which an end counts no more.
+        record: The crash record, as far as it is applied here.
+        submit: Commits a command.
+        quarantine_s: Time in seconds after which a crash no longer counts.
     """
     while True:
         await asyncio.sleep(EXPIRY_INTERVAL_S)
--- a/src/crowsill/control/replica_overview.py
+++ b/src/crowsill/control/replica_overview.py
@@ -1,4 +1,4 @@
-"""What operators see of registered replicas: what the group recorded, and what gateways say."""
+"""Operators' view of registered replicas: the recorded state and the exclusions by gateways."""
 
 import msgspec
 
@@ -8,12 +8,12 @@
 
 
 class ExclusionLine(msgspec.Struct, frozen=True):
-    """Why one gateway sends a replica nothing.
+    """Why one gateway sends no requests to a replica.
 
     Attributes:
-        gateway: Name of the process.
-        why: Why not.
-        left_s: For how much longer; None where nobody can tell.
+        gateway: Name of the gateway process.
+        why: Reason of the exclusion.
+        left_s: Remaining time in seconds; None if it is unknown.
     """
 
     gateway: str
@@ -25,16 +25,16 @@
     """One registered replica.
 
     Attributes:
-        instance_id: The id of its life.
+        instance_id: Id of the incarnation.
         service: Its service.
-        zone: Its site.
+        zone: Its zone.
         address: `IP:port`.
-        state: What the group recorded.
-        models: What gateways may use there.
-        exclusions: Gateways that send it nothing at present, and why.
-        limit_per_s: Requests a second that it takes from all gateways, as it names it; None
-            without a limit.
-        granted: Requests that this leader has granted there since it knows of the limit.
+        state: The recorded state.
+        models: Models that gateways may use there.
+        exclusions: Gateways that currently send it no requests, and the reasons.
+        limit_per_s: Rate limit in requests per second for all gateways together, as advertised by
+            the replica; None without a limit.
+        granted: Number of requests that this leader has granted there since it knows the limit.
     """
 
     instance_id: str
@@ -48,15 +48,15 @@
     granted: int = 0
 
 
-def overview(
+def replica_lines(
     directory: Directory, entries: list[EntryStatus], limits: ReplicaLimits
 ) -> list[RegisteredReplicaLine]:
-    """Return all registered replicas, by service and id."""
-    found: dict[str, list[ExclusionLine]] = {}
+    """Return all registered replicas, sorted by service and id."""
+    exclusions: dict[str, list[ExclusionLine]] = {}
     for entry in sorted(entries, key=lambda status: status.node):
-        for told in entry.excluded:
-            line = ExclusionLine(entry.node, told.reason, told.remaining_s)
-            found.setdefault(told.instance_id, []).append(line)
+        for exclusion in entry.excluded:
+            line = ExclusionLine(entry.node, exclusion.reason, exclusion.remaining_s)
+            exclusions.setdefault(exclusion.instance_id, []).append(line)
     lines = [
         RegisteredReplicaLine(
             instance.instance_id,
@@ -65,7 +65,7 @@
             instance.address,
             instance.state,
             [held.name for held in instance.models],
-            found.get(instance.instance_id, []),
+            exclusions.get(instance.instance_id, []),
             limits.advertised_per_s(instance.instance_id),
             limits.granted(instance.instance_id),
         )
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -284,10 +284,10 @@
         """Handle a request of an entry or gateway, or of a follower on their behalf."""
         match request:
             case GrantRequest():
-                return await self.quota.answer(request, driver, self.leader_stream)
+                return await self.quota.handle(request, driver, self.leader_stream)
             case ReplicaGrantRequest():
                 grants = self.reports.replica_grants
-                return await grants.answer(request, driver, self.leader_stream)
+                return await grants.handle(request, driver, self.leader_stream)
             case ReportCrash() | ClearRequests():
                 return await self._commit_crash_command(to_crash_command(request))
             case _:
@@ -381,7 +381,7 @@
             [f"{member.host}:{member.port}" for member in members],
             *versions,
             member_zones=[self._zones.get(member.member_id, "") for member in members],
-            limits=self.reports.replica_grants.told(),
+            limits=self.reports.replica_grants.to_reports(),
         )
         return freshness if driver.has_lease() else None
 
--- a/tests/patterns/engine_site.py
+++ b/tests/patterns/engine_site.py
@@ -242,7 +242,7 @@
             self._summed_s, self._total = now_s, self.use.sum(now_s)
         gateway.registry.note_total_use(self._total, own, now_s)
         self.limits.note(gateway.registry.limit_reports(now_s), now_s)
-        gateway.registry.note_limit_reports(self.limits.told(now_s), now_s)
+        gateway.registry.note_limit_reports(self.limits.to_reports(now_s), now_s)
         self._at(now_s + HEARTBEAT_S * self.random.uniform(0.95, 1.05), self._beat, gateway)
 
     def join(self, at_s, held):
