--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -258,7 +258,7 @@
         if not repeatable or progress.runs >= route.max_attempts:
             return False
         budget = self._context.budget(self._service)
-        left = budget.left(self._loop.time(), self._context.gateways)
-        if left < 1.0 or isinstance(self._choose(route), NoReplicaReason):
+        retries_left = budget.left(self._loop.time(), self._context.gateways)
+        if retries_left < 1.0 or isinstance(self._choose(route), NoReplicaReason):
             return False
         return await self._repeat_guard.may_repeat(choice.record.instance, end)
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -68,7 +68,7 @@
         elif reason is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
         elif reason is NoReplicaReason.ALL_CLOSED:
-            detail = refused.detail or "every replica that could run it is closed for a moment"
+            detail = refused.detail or "every replica that could run it is temporarily excluded"
         self.reject(kind, detail, round(refused.back_s, 2))
 
     def time_out(self) -> None:
--- a/src/crowsill/gateway/request.py
+++ b/src/crowsill/gateway/request.py
@@ -83,7 +83,7 @@
     if not value:
         return []
     parts: list[PromptPart] = []
-    for word in value.split(b","):
-        part_id, _, tokens = word.strip().partition(b":")
+    for entry in value.split(b","):
+        part_id, _, tokens = entry.strip().partition(b":")
         parts.append(PromptPart(part_id, int(read_number(tokens) or 0)))
     return parts
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -1,4 +1,4 @@
-"""Replicas' ports that open and close, and a crash watch that says what it would tell the group."""
+"""Ports of replicas that open and close, and a crash watch whose reports are recorded."""
 
 import asyncio
 
@@ -31,44 +31,50 @@
 
 
 class Port:
-    """A replica's port: open, closed, or closed while old connections live."""
+    """A replica's port: open, closed, or closed while old connections stay open."""
 
     def __init__(self):
         self.connections = set()
 
     async def open(self):
-        self._server = await asyncio.start_server(self._hold, LOCAL, 0)
+        self._server = await asyncio.start_server(self._serve, LOCAL, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
-    async def _hold(self, reader, writer):
+    async def _serve(self, reader, writer):
         self.connections.add(writer)
         await reader.read()
 
     def close(self):
         self._server.close()
 
-    def end(self):
+    def crash(self):
         self.close()
         for writer in self.connections:
             writer.transport.abort()
 
 
 class Watched:
-    """A watch with its pool, and what it told the group."""
-
-    def __init__(self, is_told=True):
-        self.told = []
-        self.ended = []
-        self.is_told = is_told
+    """A crash watch with its pool.
+
+    Attributes:
+        reported: Messages that were sent to the group.
+        crashed: Ids of instances that were found to have crashed.
+        is_connected: Whether the group accepts messages.
+    """
+
+    def __init__(self, is_connected=True):
+        self.reported = []
+        self.crashed = []
+        self.is_connected = is_connected
         self.guard = CrashGuard()
         self.pool = ConnectionPool(NAMES)
-        self.watch = CrashWatch(self.pool, self.guard, self._ask, self.ended.append)
+        self.watch = CrashWatch(self.pool, self.guard, self._query, self.crashed.append)
 
-    async def _ask(self, question, _timeout_s):
-        if not self.is_told:
+    async def _query(self, message, _timeout_s):
+        if not self.is_connected:
             return None
-        self.told.append(question)
+        self.reported.append(message)
         return Submitted(Acknowledged())
 
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -1,8 +1,7 @@
-"""Tasks that are cancelled in the moment in which what they wait for comes.
+"""Tasks that are cancelled at the moment at which what they wait for arrives.
 
-What happened: a run of all tests hung in a test of the placer, whose task had been cancelled and
-went on for ever. `asyncio.wait_for` of Python 3.11 returns the result, and loses the cancellation,
-where what it waits for has ended and its own task has not run since.
+`asyncio.wait_for` of Python 3.11 returns the result and loses the cancellation if what it waits for
+has completed and its own task has not run since. The cancelled task then runs forever.
 """
 
 import asyncio
@@ -19,7 +18,7 @@
 STEPS = pytest.mark.parametrize("steps", range(5))
 
 
-async def ends_when_cancelled(task, end_of_wait, steps):
+async def stops_when_cancelled(task, end_of_wait, steps):
     await asyncio.sleep(0.02)
     end_of_wait()
     for _ in range(steps):
@@ -30,32 +29,32 @@
 
 
 @STEPS
-def test_a_placer_that_is_cancelled_as_it_is_woken_ends(steps):
+def test_a_placer_that_is_cancelled_as_it_is_woken_stops(steps):
     async def body():
         placer = World(ScriptedEngines(OrderAnswer.ACCEPTED)).placer
         task = asyncio.create_task(placer.run())
-        return await ends_when_cancelled(task, placer._wake.set, steps)
+        return await stops_when_cancelled(task, placer._wake.set, steps)
 
     assert asyncio.run(body())
 
 
 @STEPS
-def test_a_held_request_that_is_cancelled_as_something_changes_ends(steps):
+def test_a_waiting_request_that_is_cancelled_at_a_change_stops(steps):
     async def body():
         async with world(good) as here:
 
-            async def hold():
+            async def wait():
                 while True:
                     await here.role.wait_for_change(5.0)
 
-            task = asyncio.create_task(hold())
-            return await ends_when_cancelled(task, here.role._notify_change, steps)
+            task = asyncio.create_task(wait())
+            return await stops_when_cancelled(task, here.role._notify_change, steps)
 
     assert asyncio.run(body())
 
 
-class Swallowing:
-    """A writer that sends nothing."""
+class DiscardingWriter:
+    """A writer that discards all data."""
 
     transport = None
 
@@ -69,21 +68,21 @@
         return 0
 
     def write(self, _data):
-        """Nothing goes out."""
+        """Discard the data."""
 
 
 @STEPS
-def test_a_question_that_is_cancelled_as_its_reply_comes_ends(steps):
+def test_a_request_that_is_cancelled_as_its_reply_arrives_stops(steps):
     async def body():
-        connection = Connection(None, Swallowing(), None)
+        connection = Connection(None, DiscardingWriter(), None)
 
-        async def ask():
+        async def request():
             while True:
                 await connection.request(Ping(), 5.0)
 
         def reply():
             next(iter(connection._waiting.values())).set_result(Pong())
 
-        return await ends_when_cancelled(asyncio.create_task(ask()), reply, steps)
+        return await stops_when_cancelled(asyncio.create_task(request()), reply, steps)
 
     assert asyncio.run(body())
--- a/tests/test_counted_ends.py
+++ b/tests/test_counted_crashes.py
@@ -1,8 +1,8 @@
-"""Whether every gateway knows of the ends that others saw, whatever becomes of members and leaders.
+"""Every gateway learns of the crashes that others saw, despite failures of members and leaders.
 
-Each of nine gateways saw one end or none of the ten that one request brought about. What counts is
-known to the group alone, so it must reach a gateway that saw nothing, within the time after which
-nobody may send the request on (3 s after the third end).
+One request may crash ten replicas while each of nine gateways sees at most one of the crashes. Only
+the group knows the count, so it must reach a gateway that saw nothing within 3 s after the third
+crash; from then on no gateway may send the request.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from crowsill.transport.replica_messages import ClearRequests, ReportCrash
 from tests.control_group import ControlGroup, FollowingGateway, until
 
-# It ended each replica at once, so that it was sent anew after each end.
+# It crashed each replica at once, so each attempt was sent after the previous crash.
 CULPRIT = SuspectRequest(b"c" * 16, "r", "h/a", "s", ran_s=0.0)
 KNOWN_WITHIN_S = 3.0
 
@@ -22,9 +22,9 @@
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
-async def _report(gateway, life):
+async def _report(gateway, instance_id):
     while not isinstance(
-        await gateway.follower.query(ReportCrash(life, [CULPRIT], 0.0), 0.8), Submitted
+        await gateway.follower.query(ReportCrash(instance_id, [CULPRIT], 0.0), 0.8), Submitted
     ):
         await asyncio.sleep(0.05)
 
@@ -59,7 +59,7 @@
         await group.stop()
 
 
-def test_ends_that_three_gateways_saw_are_known_to_all_and_to_one_that_starts_later(tmp_path):
+def test_crashes_seen_by_three_gateways_are_known_to_all_and_to_one_that_starts_later(tmp_path):
     async def story(group, gateways):
         await _report_all(*gateways)
         await _known(*gateways)
@@ -70,7 +70,7 @@
     run(_play(tmp_path, story))
 
 
-def test_a_new_leader_goes_on_counting(tmp_path):
+def test_a_new_leader_continues_the_count(tmp_path):
     async def story(group, gateways):
         await _report(gateways[0], "life-0")
         await _report(gateways[1], "life-1")
@@ -78,14 +78,14 @@
         group.disks.pop(leader)
         await group.roles.pop(leader).stop()
         others = [gateway for number, gateway in enumerate(gateways) if number != leader]
-        # A gateway whose member is gone finds another one by itself.
+        # A gateway whose member has stopped finds another one by itself.
         await _report(others[0], "life-2")
         await _known(*others)
 
     run(_play(tmp_path, story))
 
 
-def test_a_gateway_at_a_member_whose_disk_hangs_learns_of_the_ends(tmp_path):
+def test_a_gateway_at_a_member_whose_disk_hangs_learns_of_the_crashes(tmp_path):
     async def story(group, gateways):
         stuck = group.follower_number()
         group.disks[stuck].hang()
@@ -97,7 +97,7 @@
     run(_play(tmp_path, story))
 
 
-def test_a_whole_answer_clears_it_at_every_gateway(tmp_path):
+def test_a_complete_response_clears_it_at_every_gateway(tmp_path):
     async def story(_group, gateways):
         await _report_all(*gateways)
         await _known(*gateways)
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,7 +1,7 @@
-"""What one gateway takes for the end of a replica, and what not.
+"""What a gateway takes for the crash of a replica.
 
-Connections are reset, answers are cut, replicas are stopped or take no more connections: a request
-that meets these counts as no suspect. What does count is told to the group, also late.
+Reset connections, truncated responses, stopping replicas and replicas that accept no more
+connections make no request a suspect. A crash is reported to the group, even late.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
     return await caller.ask("once", "last", b"same")
 
 
-def test_broken_answers_of_replicas_that_go_on_count_for_nothing():
+def test_broken_responses_of_running_replicas_make_no_suspect():
     async def scenario():
         async with world(closes, closes, closes, closes) as played:
             status, _, _ = await _break_at(played, 4)
@@ -35,29 +35,29 @@
     run(scenario())
 
 
-def test_a_replica_whose_port_is_closed_and_connections_are_gone_has_ended():
+def test_a_replica_with_a_closed_port_and_no_connections_has_crashed():
     async def scenario():
         port, watched = await Port().open(), Watched()
         connection = await watched.pool.acquire(at(port), 1.0)
         watched.pool.release("i-1", connection, True)
         await asyncio.sleep(0.05)
-        port.end()
+        port.crash()
         watched.watch.note_broken_response(at(port), suspect())
         watched.watch.note_broken_response(at(port), suspect(b"g"))
         await settle(watched)
-        assert watched.ended == ["i-1"]
-        reported = [item.fingerprint for told in watched.told for item in told.requests]
+        assert watched.crashed == ["i-1"]
+        reported = [item.fingerprint for report in watched.reported for item in report.requests]
         assert sorted(reported) == [b"f", b"g"]
-        # What is heard later of the same end is counted, too.
+        # A break that is noticed after the crash was detected counts as well.
         watched.watch.note_broken_response(at(port), suspect(b"h"))
         await asyncio.sleep(0.05)
-        assert isinstance(watched.told[-1], ReportCrash) and watched.told[-1].life == "i-1"
+        assert isinstance(watched.reported[-1], ReportCrash) and watched.reported[-1].life == "i-1"
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_a_replica_that_takes_no_more_connections_has_not_ended():
+def test_a_replica_that_accepts_no_more_connections_has_not_crashed():
     async def scenario():
         port, watched = await Port().open(), Watched()
         connection = await watched.pool.acquire(at(port), 1.0)
@@ -66,46 +66,46 @@
         port.close()
         watched.watch.note_broken_response(at(port), suspect())
         await settle(watched)
-        assert (watched.ended, watched.told) == ([], [])
+        assert (watched.crashed, watched.reported) == ([], [])
         assert not watched.guard.has_suspects
-        port.end()
+        port.crash()
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_a_replica_that_leaves_has_not_crashed():
+def test_a_draining_replica_has_not_crashed():
     async def scenario():
         port, watched = await Port().open(), Watched()
-        port.end()
+        port.crash()
         watched.watch.note_broken_response(at(port, InstanceState.DRAINING), suspect())
         await settle(watched)
-        assert (watched.ended, watched.told) == ([], [])
+        assert (watched.crashed, watched.reported) == ([], [])
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_a_gateway_out_of_touch_counts_by_itself_and_tells_later():
+def test_a_disconnected_gateway_counts_by_itself_and_reports_later():
     async def scenario():
-        watched = Watched(is_told=False)
+        watched = Watched(is_connected=False)
         for number in range(CRASH_LIMIT):
             port = await Port().open()
-            port.end()
-            life = Instance(f"i-{number}", "s", f"{LOCAL}:{port.port}", "z", 8)
-            watched.watch.note_broken_response(life, suspect(ran_s=0.0))
-            await watched.watch.has_crashed(life.instance_id)
+            port.crash()
+            replica = Instance(f"i-{number}", "s", f"{LOCAL}:{port.port}", "z", 8)
+            watched.watch.note_broken_response(replica, suspect(ran_s=0.0))
+            await watched.watch.has_crashed(replica.instance_id)
         assert watched.guard.is_quarantined(b"f")
-        watched.is_told = True
+        watched.is_connected = True
         await asyncio.sleep(0.2)
-        assert sorted(told.life for told in watched.told) == ["i-0", "i-1", "i-2"]
-        assert all(0.0 <= told.ago_s < 5.0 for told in watched.told)
+        assert sorted(report.life for report in watched.reported) == ["i-0", "i-1", "i-2"]
+        assert all(0.0 <= report.ago_s < 5.0 for report in watched.reported)
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_a_whole_answer_clears_a_suspect_everywhere():
+def test_a_complete_response_clears_a_suspect_everywhere():
     async def scenario():
         record, watched = CrashRecord(), Watched()
         record.record("a", [suspect()], 1.0)
@@ -114,17 +114,17 @@
         watched.watch.note_success(b"f")
         assert not watched.guard.has_suspects
         await asyncio.sleep(0.3)
-        assert [told.fingerprints for told in watched.told] == [[b"f"]]
+        assert [report.fingerprints for report in watched.reported] == [[b"f"]]
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_a_request_whose_caller_left_just_before_the_end_counts():
-    """A caller that waits for less time than the request needs to end its replica comes again.
+def test_a_request_abandoned_just_before_the_crash_is_a_suspect():
+    """A caller's timeout may be shorter than the time its request needs to crash a replica.
 
-    Its own leaving closes the connection, so that no broken answer tells of the end; only the next
-    request to that replica finds its port closed.
+    The caller's disconnect closes the connection to the replica, so no broken response shows the
+    crash; only the next request to that replica finds its port closed.
     """
 
     async def scenario():
@@ -132,25 +132,27 @@
         watched.watch.note_abandoned(at(port), suspect(b"left"))
         watched.watch.note_refused_connection(at(port))
         await settle(watched)
-        assert watched.told == [], "the port is open: it has not ended"
+        assert watched.reported == [], "the port is open: it has not crashed"
         watched.watch.note_abandoned(at(port), suspect(b"left"))
-        port.end()
+        port.crash()
         watched.watch.note_refused_connection(at(port))
         await settle(watched)
-        assert {item.fingerprint for told in watched.told for item in told.requests} == {b"left"}
-        # What left long before has nothing to do with it.
+        assert {item.fingerprint for report in watched.reported for item in report.requests} == {
+            b"left"
+        }
+        # A request that was abandoned long before the crash is no suspect.
         later = Instance("i-2", "s", f"{LOCAL}:{port.port}", "z", 8)
         watched.watch.note_abandoned(later, suspect(b"long ago"))
         await asyncio.sleep(ABANDONED_MEMORY_S + 0.1)
         watched.watch.note_refused_connection(later)
         await watched.watch.has_crashed("i-2")
-        assert all(told.life != "i-2" for told in watched.told)
+        assert all(report.life != "i-2" for report in watched.reported)
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_an_exchange_tells_of_a_caller_that_left():
+def test_an_exchange_reports_a_caller_that_disconnected():
     async def scenario():
         async with world(silent) as played:
             left = []
@@ -165,30 +167,31 @@
     run(scenario())
 
 
-def test_a_gateway_that_stops_tells_of_an_end_first():
-    """What a gateway saw and has told nobody goes with its process, also where its stop is planned.
+def test_a_stopping_gateway_reports_a_crash_first():
+    """A crash that only a stopping gateway observed must be reported before it stops.
 
-    Ends that gateways saw shortly before they were killed were missing in the group's record
-    (E208 at one gateway, no E508 after it), and a fourth to sixth replica ended. A stop gave up in
-    the same way what was being told.
+    Crashes observed shortly before a gateway was killed were missing in the group's record, so that
+    a fourth to sixth replica crashed. A planned stop dropped unfinished reports in the same way.
     """
 
     async def scenario():
         async with world(silent) as played:
-            role, told = played.role, []
+            role, reported = played.role, []
 
-            async def ask(question, _timeout_s):
+            async def query(message, _timeout_s):
                 await asyncio.sleep(role._settings.readiness_lag_s + 0.3)
-                told.append(question)
+                reported.append(message)
                 return Submitted(Acknowledged())
 
-            role.crash_watch = CrashWatch(role.pool, role.crash_guard, ask, lambda _life: None)
+            role.crash_watch = CrashWatch(
+                role.pool, role.crash_guard, query, lambda _instance_id: None
+            )
             port = await Port().open()
-            port.end()
+            port.crash()
             role.crash_watch.note_broken_response(at(port), suspect())
             await asyncio.sleep(0.1)
             await role.drain()
             await role.crash_watch.stop()
-            assert [question.life for question in told] == ["i-1"]
+            assert [message.life for message in reported] == ["i-1"]
 
     run(scenario())
--- a/tests/test_innocent_crowd.py
+++ b/tests/test_innocent_crowd.py
@@ -1,10 +1,8 @@
-"""Requests that many callers send alike, where a request that ends replicas is about.
+"""Identical requests of many callers must not be quarantined for the crashes of another request.
 
-A soak of 9 s had three replicas end within 0.2 s under such a request, and the next life of one
-0.8 s later. Ordinary requests of one body ran at three of these ends, and no replica was left to
-answer one whole in between: "E509 request_quarantined place=shop.example/safe/x replicas=i-2@...,
-i-3@...,i-3@..." beside the culprit's own line. From then on they were refused, 57 of them, though
-thousands like them had been answered whole in the seconds before.
+Three replicas crash within 0.2 s under one request, and one of them again after 0.8 s. Identical
+ordinary requests run at three of these crashes, and no replica is left to complete one in between.
+They would be quarantined, although thousands like them succeeded in the seconds before.
 """
 
 import asyncio
@@ -15,22 +13,22 @@
 from tests.gateway_world import good, run, world
 
 
-def test_what_was_answered_whole_shortly_before_is_no_suspect():
+def test_a_request_that_succeeded_shortly_before_is_no_suspect():
     async def scenario():
         port, watched = await Port().open(), Watched()
         watched.guard.note_success(b"popular", asyncio.get_running_loop().time())
-        port.end()
+        port.crash()
         watched.watch.note_broken_response(at(port), suspect(b"popular"))
         watched.watch.note_broken_response(at(port), suspect(b"culprit"))
         await settle(watched)
-        reported = [item.fingerprint for told in watched.told for item in told.requests]
+        reported = [item.fingerprint for report in watched.reported for item in report.requests]
         assert reported == [b"culprit"]
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_a_gateway_that_answered_it_whole_speaks_for_what_another_one_suspects():
+def test_a_gateway_where_a_request_succeeded_clears_it_for_the_others():
     async def scenario():
         watched, record = Watched(), CrashRecord()
         now_s = asyncio.get_running_loop().time()
@@ -44,14 +42,14 @@
         assert watched.guard.is_quarantined(b"culprit")
         assert watched.guard.is_quarantined(b"long ago")
         await asyncio.sleep(0.2)
-        cleared = {item for told in watched.told for item in told.fingerprints}
+        cleared = {item for report in watched.reported for item in report.fingerprints}
         assert cleared == {b"popular"}
         await watched.watch.stop()
 
     run(scenario())
 
 
-def test_small_requests_that_end_whole_are_remembered_also_without_any_suspect():
+def test_small_requests_that_succeed_are_remembered_even_without_a_suspect():
     async def scenario():
         async with world(good) as played:
             role = played.role
--- a/tests/test_proven_requests.py
+++ b/tests/test_proven_requests.py
@@ -1,4 +1,4 @@
-"""Requests that many callers send alike, where gateways start again and know nothing of them."""
+"""Identical requests of many callers when gateways restart and have lost their successes."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 
 CROWD = b"crowd"
 CULPRIT = b"culprit"
-LONGEST_SETTLING_S = 10.0
+MAX_SETTLING_S = 10.0
 
 
 class Group:
-    """Applies what gateways tell, and passes on to them what that changes."""
+    """Applies the reports of gateways and sends them the resulting changes."""
 
     def __init__(self):
         self.machine = StateMachine()
@@ -25,61 +25,58 @@
         self.gateways = []
 
     def start_gateway(self):
-        """Start a gateway that remembers nothing, and is told all that is recorded."""
+        """Start a gateway without state and give it the full crash record."""
         gateway = Watched()
         gateway.watch.adopt(self.machine.crashes.full_change(), True)
         self.gateways.append(gateway)
         return gateway
 
     async def settle(self):
-        """Wait until gateways have told what they saw, and apply it."""
-        async with asyncio.timeout(LONGEST_SETTLING_S):
+        """Wait until all gateways have sent their reports, and apply them."""
+        async with asyncio.timeout(MAX_SETTLING_S):
             while any(gateway.watch.has_pending_reports for gateway in self.gateways):
                 await asyncio.sleep(0.01)
         for gateway in self.gateways:
-            told, gateway.told = gateway.told, []
-            for question in told:
-                note = msgspec.structs.replace(to_crash_command(question), at_s=self.clock_s)
+            reported, gateway.reported = gateway.reported, []
+            for message in reported:
+                note = msgspec.structs.replace(to_crash_command(message), at_s=self.clock_s)
                 if self.machine.apply(note).accepted:
                     for each in self.gateways:
                         each.watch.adopt(self.machine.crashes.last_change, False)
 
 
-async def end_under(group, gateway, life, *fingerprints):
-    """A replica ends while a gateway's requests run there, one of each fingerprint."""
+async def crash_under(group, gateway, instance_id, *fingerprints):
+    """Crash a replica while it runs requests of a gateway, one of each fingerprint."""
     port = await Port().open()
-    port.end()
-    instance = Instance(life, "s", f"{LOCAL}:{port.port}", "z", 8)
+    port.crash()
+    instance = Instance(instance_id, "s", f"{LOCAL}:{port.port}", "z", 8)
     for fingerprint in fingerprints:
         gateway.watch.note_broken_response(instance, suspect(fingerprint))
-    await gateway.watch.has_crashed(life)
+    await gateway.watch.has_crashed(instance_id)
     await group.settle()
     group.clock_s += 1.0
 
 
-def test_a_crowd_whose_gateways_all_start_again_is_not_held_back_for_the_ends_of_others():
-    """All gateways were killed within six seconds, and replicas ended under a request beside it.
+def test_a_crowd_whose_gateways_all_restart_is_not_quarantined_for_crashes_of_others():
+    """A crowd must stay clear even if all gateways that saw it succeed are killed.
 
-    What many callers had sent with one body, and had been answered whole thousands of times, then
-    ran at three ends with no whole answer between them, two of them of other causes ("E508
-    crash_recorded replica=i-3@...9896", "...i-3@...1177", "...i-2@...2784", then "E509
-    request_quarantined place=shop.example/once/x"), and 15 of its callers were refused. The gateway
-    that had seen it end whole had said nothing of that as the first replica ended, and its memory
-    went with its process; the ends were on all members' disks.
+    Identical requests that succeeded thousands of times run at three crashes with no success in
+    between, two of them of other causes. If the first gateway doesn't report their success at the
+    first crash, it is lost with its process, while the crashes stay on all members' disks.
     """
 
     async def scenario():
         group = Group()
         first = group.start_gateway()
         first.watch.note_success(CROWD)
-        await end_under(group, first, "i-1", CROWD, CULPRIT)
+        await crash_under(group, first, "i-1", CROWD, CULPRIT)
         await first.watch.stop()
         group.gateways.clear()
         second = group.start_gateway()
-        await end_under(group, second, "i-2", CROWD)
-        await end_under(group, second, "i-3", CROWD, CULPRIT)
-        await end_under(group, second, "i-4", CROWD)
-        await end_under(group, second, "i-5", CULPRIT)
+        await crash_under(group, second, "i-2", CROWD)
+        await crash_under(group, second, "i-3", CROWD, CULPRIT)
+        await crash_under(group, second, "i-4", CROWD)
+        await crash_under(group, second, "i-5", CULPRIT)
         assert not second.guard.is_quarantined(CROWD)
         assert second.guard.is_quarantined(CULPRIT)
         assert len(group.machine.crashes.find(CULPRIT).crashed_instances) >= CRASH_LIMIT
--- a/tests/test_vouching.py
+++ b/tests/test_vouching.py
@@ -1,15 +1,8 @@
-"""A leader that has not applied what its predecessor acknowledged vouched for an older state.
-
-Symptom: a gateway was told that its routes are current, though a newer version had been
-acknowledged before it asked; a key that was taken away would have gone on being accepted.
-Sequence: five members; a leader acknowledges a version and dies; its successor holds the entry, but
-does not know it as committed. The successor's disk hangs in the first write of its term. The three
-other members confirm that write, so that its term counts as settled and its lease is good, while
-nothing of it is applied here until the own write has ended.
-Cause: the lease was read from the consensus core, the versions from the state machine, which is
-behind the core by as long as a write takes.
-Found by reading, not seen in a log; the test makes the state: the first entry of the term is number
-5 and committed, the state machine has applied 3 of them, and the lease is good.
+"""A new leader must not confirm versions as current before it has applied all earlier entries.
+
+The new leader's disk hangs in the first write of its term. The other members commit that write, so
+its lease is valid, but its state machine has not applied entries that the former leader had
+acknowledged. It would confirm old routes, and gateways would accept revoked keys.
 """
 
 import asyncio
@@ -21,7 +14,7 @@
 
 
 class SettledNode:
-    """A leader whose term began with entry 5, which is committed."""
+    """A leader whose term started with entry 5, which is committed."""
 
     def has_lease(self, _now_s):
         return True
@@ -45,7 +38,7 @@
     )
 
 
-def test_a_leader_vouches_only_for_a_state_that_has_all_of_earlier_terms():
+def test_a_leader_has_a_lease_only_after_applying_all_entries_of_earlier_terms():
     async def scenario():
         assert not driver(applied_index=3).has_lease()
         assert not driver(applied_index=4).has_lease()
