--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -117,7 +117,7 @@
         instance: Instance,
         engine: EngineState,
         withheld: tuple[str, ...],
-        coming: tuple[LoadingModel, ...] = (),
+        loading_models: tuple[LoadingModel, ...] = (),
     ) -> None:
         """Commit which models gateways may use at an engine, and which are being loaded there."""
         offered = [
@@ -125,7 +125,7 @@
             for name, names in engine.held.items()
             if name not in withheld
         ]
-        command = OfferModels(instance.instance_id, offered, loading=list(coming))
+        command = OfferModels(instance.instance_id, offered, loading=list(loading_models))
         reply = await self._ports.submit(command)
         if not isinstance(reply, Submitted):
             raise JobFailedError("the offer of models could not be committed")
@@ -176,7 +176,7 @@
         self, instance: Instance, engine: EngineState, kind: OrderKind, model: str, adapter: str
     ) -> bool:
         """Send an order; the caller holds the engine's lock."""
-        is_unanswered = False
+        has_lost_response = False
         for _ in range(MAX_ORDER_ATTEMPTS):
             if engine.sequence is None or not self._ports.has_lease():
                 raise JobFailedError("this member has no lease or no known state of the engine")
@@ -186,35 +186,35 @@
             if not is_known or self._ports.is_lost(instance.instance_id):
                 raise JobFailedError("the engine is gone")
             order = EngineOrder(kind, model, adapter, engine.sequence, self._holder, self._term)
-            answer = await self._ports.calls.order(instance, order)
-            self._log_answer(instance, order, answer)
-            if answer is OrderAnswer.ACCEPTED:
+            response = await self._ports.calls.order(instance, order)
+            self._log_response(instance, order, response)
+            if response is OrderAnswer.ACCEPTED:
                 engine.sequence += 1
                 engine.is_fenced = True
                 return False
-            if answer is OrderAnswer.ALREADY_SO:
-                if kind is OrderKind.UNLOAD and not adapter and not is_unanswered:
+            if response is OrderAnswer.ALREADY_SO:
+                if kind is OrderKind.UNLOAD and not adapter and not has_lost_response:
                     raise JobFailedError(f"{model}: not loaded, so the recorded state is wrong")
                 # The engine unloads an unused adapter at once and counts the order.
                 if kind is OrderKind.UNLOAD and adapter:
                     engine.sequence += 1
                 return True
-            if answer is OrderAnswer.OTHER_INSTANCE and not adapter:
+            if response is OrderAnswer.OTHER_INSTANCE and not adapter:
                 # Another instance has the address, so this instance has stopped.
                 await self._ports.submit(RemoveInstance(instance.instance_id))
                 raise JobFailedError("the engine has stopped: another instance has its address")
-            if answer is not OrderAnswer.UNKNOWN and answer is not OrderAnswer.NOT_NOW:
-                raise JobFailedError(f"{kind} {model} {adapter}: {answer}")
-            is_unanswered = is_unanswered or answer is OrderAnswer.UNKNOWN
+            if response is not OrderAnswer.UNKNOWN and response is not OrderAnswer.NOT_NOW:
+                raise JobFailedError(f"{kind} {model} {adapter}: {response}")
+            has_lost_response = has_lost_response or response is OrderAnswer.UNKNOWN
             await asyncio.sleep(ORDER_RETRY_INTERVAL_S)
-            if answer is OrderAnswer.NOT_NOW and await self._was_accepted_earlier(
-                instance, engine, order, is_unanswered
+            if response is OrderAnswer.NOT_NOW and await self._was_accepted_earlier(
+                instance, engine, order, has_lost_response
             ):
                 return False
         raise JobFailedError(f"{kind} {model} {adapter}: no response")
 
     async def _was_accepted_earlier(
-        self, instance: Instance, engine: EngineState, order: EngineOrder, is_unanswered: bool
+        self, instance: Instance, engine: EngineState, order: EngineOrder, has_lost_response: bool
     ) -> bool:
         """Whether an earlier attempt of a rejected order was accepted, by the engine's report.
 
@@ -229,7 +229,7 @@
             if report.is_busy:
                 await self._wait_until_idle(instance)
             return False
-        if not is_unanswered or report.sequence != order.expected_sequence + 1:
+        if not has_lost_response or report.sequence != order.expected_sequence + 1:
             detail = f"{report.sequence} orders accepted, {order.expected_sequence} expected"
             raise JobFailedError(detail)
         if report.is_busy and not engine.is_fenced:
@@ -256,8 +256,8 @@
                 return
         raise JobFailedError("another order is in progress")
 
-    def _log_answer(self, instance: Instance, order: EngineOrder, answer: OrderAnswer) -> None:
-        ORDERS.labels(order.kind, answer).inc()
+    def _log_response(self, instance: Instance, order: EngineOrder, response: OrderAnswer) -> None:
+        ORDERS.labels(order.kind, response).inc()
         log_event(
             Event.ORDER_ANSWERED,
             replica=instance.instance_id,
@@ -265,7 +265,7 @@
             resource=resource_name(order.model, order.adapter),
             expected=order.expected_sequence,
             fence=order.fence,
-            answer=answer,
+            answer=response,
         )
 
     async def _wait_for_model(
--- a/src/crowsill/control/members.py
+++ b/src/crowsill/control/members.py
@@ -175,6 +175,6 @@
             if not node.is_established_leader:
                 continue
             health = self._health()
-            wanted = next_membership(node.membership, health, MAX_MEMBER_SILENCE_S, self._repair)
-            if wanted is not None:
-                self._driver.propose_membership(wanted)
+            proposed = next_membership(node.membership, health, MAX_MEMBER_SILENCE_S, self._repair)
+            if proposed is not None:
+                self._driver.propose_membership(proposed)
