--- a/src/crowsill/model/instances.py
+++ b/src/crowsill/model/instances.py
@@ -146,11 +146,11 @@
             f"a replica's name is 1 to {MAX_REPLICA_NAME_LENGTH} letters, digits and any of ._:@-"
         )
     if not instance.service:
-        return "a replica belongs to a service"
+        return "the service is empty"
     if not is_address(instance.address):
         return "the address is not IP:port"
     if instance.slots < 1 or instance.started_ms < 0:
-        return "slots are at least 1, and a start is not below 0"
+        return "slots must be at least 1, and the start time must not be negative"
     return None
 
 
--- a/src/crowsill/state/claim_archive.py
+++ b/src/crowsill/state/claim_archive.py
@@ -1,8 +1,9 @@
-"""Keys of old claims in eight bytes each.
+"""Digests of the keys of old claims, eight bytes each.
 
-A control member may use 64 MB, and a claim with its answer takes about half a kilobyte. So only the
-newest claims are kept whole. Of an older one the member remembers that its key was used, which is
-enough never to run it again: a resend is told that the outcome is unknown.
+A control member may use 64 MB, and a claim with its response takes about half a kilobyte. So only
+the most recent claims are stored in full. For an older claim the member stores only that its key
+was used. That is enough to never run the request again: a resend gets the result that the outcome
+is unknown.
 """
 
 from array import array
@@ -19,7 +20,7 @@
 
 
 class ClaimBucket(msgspec.Struct, array_like=True):
-    """Digests of keys claimed in one hour, as a snapshot carries them.
+    """Digests of keys claimed in one hour, as stored in a snapshot.
 
     Attributes:
         hour: Hours since the epoch.
@@ -31,13 +32,13 @@
 
 
 def key_digest(key: ClaimKey) -> int:
-    """Return a 64-bit digest; among ten million keys two are alike once in 370,000 tries."""
+    """Return a 64-bit digest; ten million keys have a collision with probability 1 in 370,000."""
     text = f"{key.tenant}\0{key.resource}\0{key.key}"
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 class ClaimArchive:
-    """Digests by the hour of their claim; whole hours are forgotten at the end of retention."""
+    """Digests by the hour of their claim; an hour is dropped after the end of its retention."""
 
     def __init__(self) -> None:
         self._buckets: list[tuple[int, array[int]]] = []
@@ -46,7 +47,7 @@
         return sum(len(digests) for _, digests in self._buckets)
 
     def add(self, digest: int, opened_s: float) -> None:
-        """Remember a key that was claimed at `opened_s`."""
+        """Add a key that was claimed at `opened_s`."""
         hour = int(opened_s // BUCKET_S)
         for known, digests in reversed(self._buckets):
             if known == hour and len(digests) < BUCKET_KEYS:
@@ -62,7 +63,7 @@
         return False
 
     def forget_before(self, horizon_s: float) -> None:
-        """Drop the hours that end before `horizon_s`."""
+        """Drop the hours that ended before `horizon_s`."""
         first = int(horizon_s // BUCKET_S)
         if self._buckets and self._buckets[0][0] < first:
             self._buckets = [bucket for bucket in self._buckets if bucket[0] >= first]
@@ -72,7 +73,7 @@
         return [ClaimBucket(hour, digests.tobytes()) for hour, digests in self._buckets]
 
     def load(self, buckets: list[ClaimBucket]) -> None:
-        """Replace everything from a snapshot."""
+        """Replace the state from a snapshot."""
         self._buckets = []
         for bucket in buckets:
             digests: array[int] = array(_CODE)
--- a/src/crowsill/state/claims.py
+++ b/src/crowsill/state/claims.py
@@ -1,9 +1,9 @@
-"""Claims: an unsafe request runs at most once, however often and wherever it is sent.
+"""Claims: an unsafe request runs at most once, regardless of how often and where it is sent.
 
-A claim is committed before the request is dispatched and settled after. The shape, admission by
-a durable claim that names the exact attempt before anything executes, is that of the claim
-protocol in "Chapter 7: Graph Is a Schedule, Not a Second Runtime"; here the claim is agreed by a
-majority instead of one local database.
+A claim is committed before the request is dispatched, and settled afterwards. The claim is durable
+and identifies the exact attempt before anything executes, as in the claim protocol of "Chapter 7:
+Graph Is a Schedule, Not a Second Runtime". Here a majority agrees on the claim instead of one local
+database.
 """
 
 from enum import StrEnum
@@ -28,7 +28,7 @@
 
 
 class ClaimState(StrEnum):
-    """Where a claim stands."""
+    """State of a claim."""
 
     OPEN = "open"
     RELEASED = "released"
@@ -40,12 +40,12 @@
     """One claim.
 
     Attributes:
-        fingerprint: Hash the key is bound to.
+        fingerprint: Hash that the key is bound to.
         attempt: The attempt that was granted.
-        holder: Incarnation of the entry that runs it.
-        state: Where it stands.
-        opened_s: Wall clock of the grant; retention counts from it.
-        response: The recorded answer, if any.
+        holder: Incarnation of the entry that runs the attempt.
+        state: State of the claim.
+        opened_s: Wall-clock time of the grant, where retention starts.
+        response: The recorded response, if any.
     """
 
     fingerprint: bytes
@@ -72,13 +72,13 @@
     if claim.state is ClaimState.RELEASED:
         return ClaimResult(ClaimDecision.IN_PROGRESS)
     if claim.attempt == command.attempt:
-        # The same attempt asks again because the first answer was lost on its way.
+        # The same attempt repeats the command because the first result was lost in transit.
         return ClaimResult(ClaimDecision.GRANTED)
     return ClaimResult(ClaimDecision.IN_PROGRESS)
 
 
 class ClaimTable:
-    """All claims within their retention: the newest whole, older ones as digests of their keys."""
+    """All claims within retention: recent ones in full, older ones as digests of their keys."""
 
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
@@ -96,7 +96,7 @@
         if claim is None and key_digest(command.key) in self._archive:
             return ClaimResult(ClaimDecision.UNKNOWN)
         if claim is not None and _may_take_over(claim, command):
-            # Not run so far: another attempt may have it.
+            # The released attempt did not run, so another attempt may take the claim.
             self._remove(command.key)
             claim = None
         if claim is None:
@@ -111,14 +111,14 @@
         return _decide_known(claim, command)
 
     def settle(self, command: SettleClaim) -> bool:
-        """Record how an attempt ended; return whether the attempt still held the claim."""
+        """Record how an attempt ended; return whether the attempt still owned the claim."""
         claim = self._claims.get(command.key)
         if claim is None or claim.attempt != command.attempt:
             return False
         if claim.state is ClaimState.ANSWERED:
             return command.settlement is ClaimSettlement.ANSWERED
         if command.settlement is ClaimSettlement.ANSWERED:
-            # This also corrects an outcome that was given up as unknown.
+            # This also corrects an outcome that was recorded as unknown.
             claim.state = ClaimState.ANSWERED
             claim.response = command.response
             self._response_bytes += _response_size(claim)
@@ -127,12 +127,12 @@
             return False
         require(claim.state in (ClaimState.OPEN, ClaimState.RELEASED), "a claim ends once")
         not_run = command.settlement is ClaimSettlement.NOT_RUN
-        # A released claim stays, so that a late copy of the same attempt is not granted again.
+        # A released claim is kept, so that a late duplicate of the same attempt is not granted.
         claim.state = ClaimState.RELEASED if not_run else ClaimState.UNKNOWN
         return True
 
     def abandon(self, holders: set[str]) -> int:
-        """Give up the open claims of vanished entries; return how many there were."""
+        """Give the open claims of entries that are gone an unknown outcome; return their number."""
         count = 0
         for claim in self._claims.values():
             if claim.state is ClaimState.OPEN and claim.holder in holders:
@@ -141,22 +141,22 @@
         return count
 
     def open_holders(self) -> set[str]:
-        """Entries that hold open claims."""
+        """Return the incarnations of entries that have open claims."""
         claims = self._claims.values()
         return {claim.holder for claim in claims if claim.state is ClaimState.OPEN}
 
     def _forget_old(self, now_s: float) -> None:
-        """Keep the newest claims whole, within bounds; of the others only that they were."""
+        """Archive claims that exceed the limits of age, number or size as digests of their keys."""
         self._archive.forget_before(now_s - self._retention_s)
-        whole_after_s = now_s - min(FULL_CLAIM_RETENTION_S, self._retention_s)
+        full_after_s = now_s - min(FULL_CLAIM_RETENTION_S, self._retention_s)
         while self._claims:
             key = next(iter(self._claims))
             claim = self._claims[key]
             over = len(self._claims) > MAX_FULL_CLAIMS or self._response_bytes > MAX_RESPONSE_BYTES
-            if claim.opened_s >= whole_after_s and not over:
+            if claim.opened_s >= full_after_s and not over:
                 return
             self._remove(key)
-            # A released claim was not run, and may be claimed afresh.
+            # A released claim did not run, so its key may be claimed again.
             if claim.state is not ClaimState.RELEASED:
                 self._archive.add(key_digest(key), claim.opened_s)
                 require(key_digest(key) in self._archive, "a used key is not forgotten")
@@ -165,7 +165,7 @@
         self._response_bytes -= _response_size(self._claims.pop(key))
 
     def dump(self) -> list[tuple[ClaimKey, Claim]]:
-        """Return the whole claims for a snapshot."""
+        """Return the full claims for a snapshot."""
         return list(self._claims.items())
 
     def dump_archive(self) -> list[ClaimBucket]:
@@ -173,7 +173,7 @@
         return self._archive.dump()
 
     def load(self, claims: list[tuple[ClaimKey, Claim]], archive: list[ClaimBucket]) -> None:
-        """Replace everything from a snapshot."""
+        """Replace the state from a snapshot."""
         self._claims = dict(claims)
         self._response_bytes = sum(_response_size(claim) for claim in self._claims.values())
         self._archive.load(archive)
--- a/src/crowsill/state/commands.py
+++ b/src/crowsill/state/commands.py
@@ -14,7 +14,7 @@
 
 
 class ClaimKey(msgspec.Struct, frozen=True, array_like=True):
-    """Identity of an unsafe request: the caller's key within tenant and resource."""
+    """Identity of an unsafe request: the caller's idempotency key within tenant and resource."""
 
     tenant: str
     resource: str
@@ -22,7 +22,7 @@
 
 
 class RecordedResponse(msgspec.Struct, frozen=True, array_like=True):
-    """A back end's whole answer to an unsafe request, kept for resends."""
+    """A back end's complete response to an unsafe request, stored for resends."""
 
     status: int
     content_type: str
@@ -37,14 +37,14 @@
 
 
 class OpenClaim(msgspec.Struct, frozen=True, array_like=True, tag="open-claim"):
-    """Ask to run an unsafe request.
+    """Request permission to run an unsafe request.
 
     Attributes:
         key: The request's identity.
         fingerprint: Hash of method, path and body; a key is bound to it.
-        attempt: Unique id of this attempt; the same attempt may ask again.
-        holder: Incarnation of the entry that would run it.
-        at_s: Wall clock of the leader.
+        attempt: Unique id of this attempt; the same attempt may repeat the command.
+        holder: Incarnation of the entry that would run the request.
+        at_s: Wall-clock time of the leader.
     """
 
     key: ClaimKey
@@ -69,8 +69,8 @@
         key: The request's identity.
         attempt: The attempt that held the claim.
         settlement: How it ended.
-        response: The answer, when it was answered and is small enough to keep.
-        at_s: Wall clock of the leader.
+        response: The response, if there was one that is small enough to store.
+        at_s: Wall-clock time of the leader.
     """
 
     key: ClaimKey
@@ -81,14 +81,14 @@
 
 
 class AbandonHolders(msgspec.Struct, frozen=True, array_like=True, tag="abandon"):
-    """Declare the open claims of vanished entries to be of unknown outcome."""
+    """Give the open claims of entries that are gone an unknown outcome."""
 
     holders: list[str]
     at_s: float
 
 
 class OrderKind(StrEnum):
-    """What an engine is told to do."""
+    """Kind of an order to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -99,12 +99,12 @@
 
     Attributes:
         replica_id: The engine.
-        incarnation: The engine's incarnation the order is for.
+        incarnation: The engine's incarnation that the order is for.
         kind: Load or unload.
         resource: `model` or `model:adapter`.
-        memory_mib: Memory the resource takes.
-        term: The fence: the proposing leader's term; the log index orders within it.
-        at_s: Wall clock of the leader.
+        memory_mib: Memory that the resource needs.
+        term: Term of the proposing leader; the order's fence, within which the log index orders.
+        at_s: Wall-clock time of the leader.
     """
 
     replica_id: str
@@ -117,7 +117,7 @@
 
 
 class SettleOrder(msgspec.Struct, frozen=True, array_like=True, tag="settle-order"):
-    """Record that an order can no longer change anything: confirmed, refused or dead."""
+    """Record that an order can no longer take effect: confirmed, rejected or lost."""
 
     order_id: int
     succeeded: bool
@@ -125,40 +125,40 @@
 
 
 class PublishRoutes(msgspec.Struct, frozen=True, array_like=True, tag="publish-routes"):
-    """Put a route configuration in force, if its version is the highest."""
+    """Put a route configuration into effect if its version is the highest."""
 
     document: RouteDocument
     at_s: float = 0.0
 
 
 class RecordHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="record-beat"):
-    """Take in a heartbeat that changes what is known of a replica."""
+    """Record a heartbeat that changes the known state of a replica."""
 
     heartbeat: ReplicaHeartbeat
     at_s: float = 0.0
 
 
 class DrainInstance(msgspec.Struct, frozen=True, array_like=True, tag="drain-instance"):
-    """Record that an instance leaves, by its own word in an answer."""
+    """Record that an instance drains, as it reported in a response."""
 
     instance_id: str
     at_s: float = 0.0
 
 
 class RemoveInstance(msgspec.Struct, frozen=True, array_like=True, tag="remove-instance"):
-    """Record that an instance is gone for good."""
+    """Record that an instance is permanently gone."""
 
     instance_id: str
     at_s: float = 0.0
 
 
 class OfferModels(msgspec.Struct, frozen=True, array_like=True, tag="offer-models"):
-    """Record what gateways may use at an engine, by the word of whoever places models.
+    """Record which models gateways may use at an engine, as decided by the model placement.
 
     Attributes:
         instance_id: The engine.
-        models: What it holds and gateways may use.
-        loading: Models whose load is under way there.
+        models: Loaded models that gateways may use.
+        loading: Models that the engine is loading.
     """
 
     instance_id: str
@@ -168,10 +168,10 @@
 
 
 class RecordMissingModels(msgspec.Struct, frozen=True, array_like=True, tag="record-lacked"):
-    """Record how many requests models have lacked since they were held last.
+    """Record the number of requests for each missing model since it was last loaded.
 
     Attributes:
-        requests: Their number by `service|model`; replaces what was recorded before.
+        requests: Number of requests by `service|model`; replaces the former record.
     """
 
     requests: dict[str, float]
@@ -179,10 +179,10 @@
 
 
 class RecordQuotaUse(msgspec.Struct, frozen=True, array_like=True, tag="record-quota-use"):
-    """Record the most that tenants may have been granted lately.
+    """Record an upper bound of the units that tenants were recently granted.
 
     Attributes:
-        units: Units by tenant and age, the youngest first; none forgets the tenant.
+        units: Units by tenant and age, the most recent first; an empty list removes the tenant.
     """
 
     units: dict[str, list[float]]
@@ -192,10 +192,10 @@
 class RecordControlAddress(
     msgspec.Struct, frozen=True, array_like=True, tag="record-control-address"
 ):
-    """Record where a control process is, so that any leader can find it.
+    """Record the address of a control process, so that any leader can reach it.
 
     Attributes:
-        address: Its `IP:port` for other crowsill processes.
+        address: `IP:port` at which it accepts connections of other crowsill processes.
     """
 
     address: str
@@ -203,12 +203,12 @@
 
 
 class RecordCrash(msgspec.Struct, frozen=True, array_like=True, tag="record-crash"):
-    """Record that a replica ended while it ran requests.
+    """Record that a replica crashed while it ran requests.
 
     Attributes:
         instance_id: The replica's life that ended.
-        requests: What was running there.
-        ago_s: How long before the command was proposed it ended.
+        requests: Requests that were running on the replica.
+        ago_s: Time between the crash and the proposal of this command.
     """
 
     instance_id: str
@@ -221,8 +221,8 @@
     """Record that requests are no longer suspects.
 
     Attributes:
-        fingerprints: Which.
-        reason: Why not, for the log.
+        fingerprints: Fingerprints of the requests.
+        reason: Reason, for the log.
         completed_ago_s: Time between the completion of each request and the proposal of this
             command, in the same order; empty if completion is not the reason.
     """
@@ -234,7 +234,7 @@
 
 
 CrashCommand = RecordCrash | ClearSuspects
-# What a leader notes for its successors.
+# State that a leader records for its successors.
 LeaderRecord = RecordControlAddress | RecordMissingModels | RecordQuotaUse
 DirectoryCommand = RecordHeartbeat | DrainInstance | RemoveInstance | OfferModels
 Registration = PublishRoutes | DirectoryCommand | CrashCommand | LeaderRecord
@@ -259,7 +259,7 @@
 
 
 def stops_attempts(command: Command) -> bool:
-    """Whether a command says to send no more: of a request, or to a replica.
+    """Return whether a command stops further attempts of a request or at a replica.
 
     >>> stops_attempts(DrainInstance("i-1")), stops_attempts(RecordMissingModels({}))
     (True, False)
@@ -270,7 +270,7 @@
 
 
 class ConfigurationDecision(StrEnum):
-    """What became of a configuration change."""
+    """Outcome of a configuration change."""
 
     ACCEPTED = "accepted"
     REPEATED = "repeated"
@@ -279,12 +279,12 @@
 
 
 class ConfigurationResult(msgspec.Struct, frozen=True, tag="configuration-result"):
-    """The answer to a configuration change.
+    """The result of a configuration change.
 
     Attributes:
-        decision: What became of it.
-        revision: The revision it got, or the revision in force.
-        detail: For a conflict the winning change, for an invalid one the faults.
+        decision: Outcome of the change.
+        revision: The revision of the accepted change, otherwise the revision in effect.
+        detail: The winning change for a conflict, the errors for an invalid change.
     """
 
     decision: ConfigurationDecision
@@ -303,20 +303,20 @@
 
 
 class ClaimResult(msgspec.Struct, frozen=True, tag="claim-result"):
-    """The answer to `OpenClaim`."""
+    """The result of `OpenClaim`."""
 
     decision: ClaimDecision
     response: RecordedResponse | None = msgspec.field(default=None, name="answer")
 
 
 class Acknowledged(msgspec.Struct, frozen=True, tag="acknowledged"):
-    """The command was applied; `accepted` is False where it no longer had any effect."""
+    """The command was applied; `accepted` is False if it had no effect."""
 
     accepted: bool = True
 
 
 class OrderPlaced(msgspec.Struct, frozen=True, tag="order-placed"):
-    """The order has this id, which rises with every order."""
+    """The id of a placed order; ids increase with every order."""
 
     order_id: int
 
--- a/src/crowsill/state/configuration_store.py
+++ b/src/crowsill/state/configuration_store.py
@@ -1,4 +1,4 @@
-"""The configuration in force, its history, and the decision over each change."""
+"""The configuration in effect, its history, and the decision on each change."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class AcceptedChange(msgspec.Struct, frozen=True):
-    """One line of the history."""
+    """One entry of the history."""
 
     revision: int
     change_id: str
@@ -26,7 +26,7 @@
 
 
 class ConfigurationStore:
-    """Decides changes and keeps the latest `HISTORY_LENGTH` of them."""
+    """Decides on changes and stores the latest `HISTORY_LENGTH` of them."""
 
     def __init__(self) -> None:
         self.current = Configuration()
@@ -38,10 +38,10 @@
         return self._history
 
     def submit(self, change: ConfigurationChange, at_s: float) -> ConfigurationResult:
-        """Accept or refuse a change.
+        """Accept or reject a change.
 
-        A resend of an accepted change returns the first answer. Of several changes on one base
-        revision the first wins, and the others learn its change id.
+        A resend of an accepted change returns the result of the first one. Of several changes with
+        the same base revision the first wins, and the result of the others contains its change id.
         """
         known = self._find(change.change_id)
         if known is not None:
@@ -86,7 +86,7 @@
         return ConfigurationResult(ConfigurationDecision.CONFLICT, current, detail)
 
     def deltas_after(self, revision: int) -> list[ConfigurationDelta] | None:
-        """Return the steps after a revision, or None when the history does not reach back."""
+        """Return the changes after a revision, or None if the history starts after it."""
         if revision > self.current.revision:
             return []
         missing = self.current.revision - revision
@@ -96,7 +96,7 @@
         return [ConfigurationDelta(step.revision, step.content) for step in steps]
 
     def load(self, current: Configuration, history: list[AcceptedChange]) -> None:
-        """Replace everything from a snapshot."""
+        """Replace the state from a snapshot."""
         require(current.revision >= self.current.revision, "the configuration never reverts")
         self.current = current
         self._history = history
--- a/src/crowsill/state/control_addresses.py
+++ b/src/crowsill/state/control_addresses.py
@@ -1,16 +1,16 @@
-"""Where control processes are that belonged to the group or asked for it, replicated.
+"""Replicated addresses of control processes that were members or asked to join the group.
 
-One that has lost its disk, or has none, forgets everything when it restarts, and may be all that
-others know of the group: a leader must be able to find it after any loss.
+A control process without its disk knows nothing after a restart, but may be the only address of the
+group that other processes know. So the leader must be able to reach it after any data loss.
 """
 
-# Beyond so many the one recorded first is dropped. A site has a handful of control processes; each
-# that is gone for good costs the leader one packet every two seconds.
+# Beyond this number the oldest address is dropped. A site has few control processes, and each one
+# that is permanently gone costs the leader one packet every two seconds.
 MAX_CONTROL_ADDRESSES = 64
 
 
 class ControlAddresses:
-    """Their addresses, `IP:port`, in the order in which they were recorded.
+    """Addresses of control processes, `IP:port`, in the order of their recording.
 
     >>> known = ControlAddresses()
     >>> known.record("127.0.0.1:1"), known.record("127.0.0.1:1"), known.addresses
@@ -21,12 +21,12 @@
         self.addresses: list[str] = []
 
     def record(self, address: str) -> bool:
-        """Record one; return whether it was not known."""
+        """Record an address; return whether it is new."""
         if address in self.addresses:
             return False
         self.addresses = [*self.addresses, address][-MAX_CONTROL_ADDRESSES:]
         return True
 
     def load(self, addresses: list[str]) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state from a snapshot."""
         self.addresses = list(addresses)
--- a/src/crowsill/state/crash_record.py
+++ b/src/crowsill/state/crash_record.py
@@ -1,8 +1,8 @@
-"""Requests under which replicas ended, replicated so that every gateway counts alike.
+"""The replicated record of suspect requests, so that all gateways count the same crashes.
 
-A replica that ends makes suspects of all that ran there. What tells the culprit is that it was
-there again at the end of another life, and that it never ends whole: a whole answer clears a
-request.
+When a replica crashes, all requests that were running on it become suspects. Two facts identify the
+request that causes crashes: it was also running at the crash of another incarnation, and it never
+completes. A complete response clears a request.
 """
 
 import math
@@ -20,21 +20,22 @@
     is_independent_crash,
 )
 
-# About 200 bytes each in a snapshot. An end makes up to 100 suspects, and nearly all of them are
-# cleared within seconds.
+# A suspect takes about 200 bytes in a snapshot. One crash produces up to 100 suspects, nearly all
+# of which are cleared within seconds.
 MAX_SUSPECTS = 4096
-# Requests that ended whole before they ran where a replica ended, which counts for
-# `COMPLETION_VALIDITY_S`; about 200 bytes each. An end tells of up to 100.
+# Recorded completions of requests, each valid for `COMPLETION_VALIDITY_S`; about 200 bytes each.
+# One crash leads to reports of up to 100 of them.
 MAX_COMPLETIONS = 4096
-# Of two requests at one end, the one that had run so many times as long did not bring it about: a
-# request that ends replicas takes the same time for it at each, and those beside it any time.
+# Of two requests at one crash, the one that had run this many times longer did not cause it: a
+# request that crashes replicas does so after about the same time on each, whereas the requests that
+# run beside it have run for any time.
 UNRELATED_RUN_TIME_RATIO = 4.0
-# Lives kept for each request; more say nothing new.
+# Incarnations stored for each request; more provide no further evidence.
 MAX_RECORDED_CRASHES = 8
 
 
 class CrashRecordSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The whole record."""
+    """The full record."""
 
     version: int = 0
     suspects: list[Suspect] = []
@@ -42,14 +43,14 @@
 
 
 class CrashRecord:
-    """Suspects by fingerprint, the one that changed last at the end.
+    """Suspects by fingerprint, ordered by their last change.
 
     Attributes:
-        version: Rises with every change.
-        last_change: What the newest version changed, or None.
+        version: Increases with every change.
+        last_change: The changes of the latest version, or None.
 
     >>> record, seen = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
-    >>> [record.record(life, [seen], at_s) is not None for life, at_s in (("a", 1), ("b", 2))]
+    >>> [record.record(item, [seen], at_s) is not None for item, at_s in (("a", 1), ("b", 2))]
     [True, True]
     >>> record.record("b", [seen], 3), record.record("c", [seen], 2.05)
     (None, None)
@@ -61,7 +62,7 @@
         self.version = 0
         self.last_change: SuspectChange | None = None
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        # Wall clock when each request ended whole last, as far as gateways spoke for it.
+        # Wall-clock time of the last completion of each request, as far as gateways reported it.
         self._completed_at_s: OrderedDict[bytes, float] = OrderedDict()
 
     @property
@@ -70,22 +71,22 @@
         return list(self._suspects.values())
 
     def find(self, fingerprint: bytes) -> Suspect | None:
-        """Return what is known of a request, or None."""
+        """Return the crash history of a request, or None."""
         return self._suspects.get(fingerprint)
 
     def record(
-        self, life: str, requests: list[SuspectRequest], ended_s: float
+        self, instance_id: str, requests: list[SuspectRequest], crashed_at_s: float
     ) -> SuspectChange | None:
-        """Take in that a replica ended while it ran requests; return what changed, or None.
+        """Record that a replica crashed while it ran requests; return the change, or None.
 
         Args:
-            life: The replica's life that ended.
-            requests: What was running there.
-            ended_s: Wall clock when it ended.
+            instance_id: The incarnation that crashed.
+            requests: Requests that were running on it.
+            crashed_at_s: Wall-clock time of the crash.
         """
         changed: dict[bytes, list[str]] = {}
         for request in requests:
-            counted = self._count(life, request, ended_s)
+            counted = self._count(instance_id, request, crashed_at_s)
             if counted is None:
                 continue
             self._suspects[request.fingerprint] = counted
@@ -98,86 +99,94 @@
             changed[self._forget_one()] = []
         return self._changed(changed)
 
-    def _count(self, life: str, request: SuspectRequest, ended_s: float) -> Suspect | None:
-        """Count an end against a request; None where it says nothing new."""
-        # A clock that jumped leaves no request unseen for longer.
+    def _count(
+        self, instance_id: str, request: SuspectRequest, crashed_at_s: float
+    ) -> Suspect | None:
+        """Count a crash against a request; return None if it does not count."""
+        # The absolute difference bounds the exemption also if the wall clock jumps back.
         if (
-            abs(ended_s - self._completed_at_s.get(request.fingerprint, -math.inf))
+            abs(crashed_at_s - self._completed_at_s.get(request.fingerprint, -math.inf))
             < COMPLETION_VALIDITY_S
         ):
             return None
         known = self._suspects.get(request.fingerprint)
         if known is None:
-            return Suspect(request, [life], ended_s, ended_s, [request.ran_s])
-        if life in known.crashed_instances or len(known.crashed_instances) >= MAX_RECORDED_CRASHES:
+            return Suspect(request, [instance_id], crashed_at_s, crashed_at_s, [request.ran_s])
+        if (
+            instance_id in known.crashed_instances
+            or len(known.crashed_instances) >= MAX_RECORDED_CRASHES
+        ):
             return None
-        # What knew of all ends counted so far was sent after them, however late these were told:
-        # beside load, reports overtake each other by more than a repeat takes.
+        # A request whose gateway knew of all crashes counted so far was sent after them, no matter
+        # how late they are reported. Under load, reports can overtake each other by more than the
+        # duration of a retry.
         knew_all = request.known_crashes >= len(known.counted_crashes)
         if not knew_all and not is_independent_crash(
-            known.last_crash_at_s, ended_s - request.ran_s, ended_s
+            known.last_crash_at_s, crashed_at_s - request.ran_s, crashed_at_s
         ):
             return None
         return msgspec.structs.replace(
             known,
             request=request,
-            crashed_instances=[*known.crashed_instances, life],
-            last_crash_at_s=ended_s,
+            crashed_instances=[*known.crashed_instances, instance_id],
+            last_crash_at_s=crashed_at_s,
             ran_s=[*known.ran_s, request.ran_s],
         )
 
     def _clear_explained(self) -> dict[bytes, list[str]]:
-        """Forget what is held back for ends that are all explained by others that are.
+        """Clear quarantined requests whose crashes are all explained by other quarantined requests.
 
-        Others explain an end if they have ended a replica besides. So a crowd that had never ended
-        whole before is free once its culprits are known (a soak of 7 s held one back for good).
+        Another request explains a crash if it also crashed a replica that this one did not run on.
+        Without this rule, identical requests of many callers that never completed before stay
+        quarantined after the requests that cause the crashes are known.
         """
-        held = {
+        crashes_of = {
             key: set(item.crashed_instances)
             for key, item in self._suspects.items()
             if item.is_quarantined
         }
         cleared = [
             key
-            for key, crashed_instances in held.items()
+            for key, crashed_instances in crashes_of.items()
             if crashed_instances
-            <= set().union(*(other for other in held.values() if other - crashed_instances))
+            <= set().union(*(other for other in crashes_of.values() if other - crashed_instances))
         ]
         for key in cleared:
             del self._suspects[key]
         return {key: [] for key in cleared}
 
     def _excuse_long_running(self) -> dict[bytes, list[str]]:
-        """Spare each request one end at which it had run far longer than one that is held back.
+        """Excuse each quarantined request from one crash that a shorter-running request caused.
 
-        What ends replicas does so as soon as it runs; what ran beside it was sent at any time
-        before. A crowd that has never ended whole yet could not do so any more, and 132 of it were
-        refused (a soak of 9 s). With one end less a whole answer can clear it. One more end holds
-        it back, so that a chance that went to the wrong one costs no more than that.
+        A request that crashes replicas does so soon after it starts, whereas requests that run
+        beside it were sent at any time before. Without this rule, identical requests of many
+        callers that have not completed yet are quarantined and can no longer complete. With one
+        crash less, a complete response can clear them. One further crash quarantines the request
+        again, so that a wrong excuse costs at most one more crash.
 
         Returns:
-            The ends that are held against each request for which they are others now.
+            The counted crashes of each request for which they changed.
         """
         shortest_s: dict[str, float] = {}
         changed: dict[bytes, list[str]] = {}
-        many = [item for item in self._suspects.items() if item[1].is_quarantined]
-        for key, suspect in sorted(many, key=lambda item: max(item[1].ran_s, default=0.0)):
+        quarantined = [item for item in self._suspects.items() if item[1].is_quarantined]
+        for key, suspect in sorted(quarantined, key=lambda item: max(item[1].ran_s, default=0.0)):
             ran_s = dict(zip(suspect.crashed_instances, suspect.ran_s, strict=False))
             longer = [
-                life
-                for life, taken_s in ran_s.items()
-                if taken_s > UNRELATED_RUN_TIME_RATIO * shortest_s.get(life, math.inf)
+                instance_id
+                for instance_id, taken_s in ran_s.items()
+                if taken_s > UNRELATED_RUN_TIME_RATIO * shortest_s.get(instance_id, math.inf)
             ]
             if longer and not suspect.excused_instance:
                 self._suspects[key] = msgspec.structs.replace(suspect, excused_instance=longer[0])
                 changed[key] = self._suspects[key].counted_crashes
                 continue
-            for life, taken_s in ran_s.items():
-                shortest_s[life] = min(taken_s, shortest_s.get(life, math.inf))
+            for instance_id, taken_s in ran_s.items():
+                shortest_s[instance_id] = min(taken_s, shortest_s.get(instance_id, math.inf))
         return changed
 
     def _forget_one(self) -> bytes:
-        """Forget the oldest one of those under which the fewest replicas ended."""
+        """Remove the oldest of the suspects with the fewest crashes; return its fingerprint."""
         fingerprint = min(
             self._suspects, key=lambda item: len(self._suspects[item].crashed_instances)
         )
@@ -185,14 +194,15 @@
         return fingerprint
 
     def note_completion(self, fingerprint: bytes, completed_at_s: float) -> None:
-        """Take in when a request ended whole, so that ends soon after do not count against it.
+        """Record when a request completed, so that crashes soon after do not count against it.
 
-        The gateway that saw it may be gone when replicas end at the others. In soaks that kill
-        gateways often, a crowd was held back in 2 of 72 runs without it, in none of 40 with it.
+        The record is replicated because the gateway that saw the completion may be gone when
+        replicas crash at other gateways. Without it, frequent losses of gateways occasionally
+        quarantine identical requests of many callers.
 
         Args:
-            fingerprint: The request.
-            completed_at_s: Wall clock; minus infinite where that is not known.
+            fingerprint: Fingerprint of the request.
+            completed_at_s: Wall-clock time; minus infinity if unknown.
 
         >>> record, seen = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
         >>> record.note_completion(b"f", 10.0)
@@ -207,12 +217,12 @@
             self._completed_at_s.popitem(last=False)
 
     def clear(self, fingerprints: list[bytes]) -> SuspectChange | None:
-        """Forget requests; return what changed, or None."""
+        """Remove requests from the suspects; return the change, or None."""
         known = [item for item in fingerprints if self._suspects.pop(item, None) is not None]
         return self._changed({item: [] for item in known})
 
     def inactive_since(self, horizon_s: float) -> list[bytes]:
-        """Return those under which no replica has ended since a wall clock."""
+        """Return the suspects without a counted crash since a wall-clock time."""
         return [
             fingerprint
             for fingerprint, suspect in self._suspects.items()
@@ -223,25 +233,26 @@
         if not changed:
             return None
         self.version += 1
-        crashed_instances = [
-            SuspectCrashes(fingerprint, lives) for fingerprint, lives in changed.items()
+        crashes = [
+            SuspectCrashes(fingerprint, instance_ids)
+            for fingerprint, instance_ids in changed.items()
         ]
-        self.last_change = SuspectChange(self.version, crashed_instances)
+        self.last_change = SuspectChange(self.version, crashes)
         return self.last_change
 
     def full_change(self) -> SuspectChange:
-        """Return everything as one change."""
-        crashed_instances = [
+        """Return the full record as one change."""
+        crashes = [
             SuspectCrashes(key, item.counted_crashes) for key, item in self._suspects.items()
         ]
-        return SuspectChange(self.version, crashed_instances)
+        return SuspectChange(self.version, crashes)
 
     def dump(self) -> CrashRecordSnapshot:
         """Return the state for a snapshot."""
         return CrashRecordSnapshot(self.version, self.suspects, list(self._completed_at_s.items()))
 
     def load(self, snapshot: CrashRecordSnapshot) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state from a snapshot."""
         self.version = snapshot.version
         self._suspects = OrderedDict((item.request.fingerprint, item) for item in snapshot.suspects)
         self._completed_at_s = OrderedDict(snapshot.completed_at_s)
--- a/src/crowsill/state/directory.py
+++ b/src/crowsill/state/directory.py
@@ -1,8 +1,8 @@
 """The replicated directory of registered replicas.
 
-Every change has a rising version. What has gone is remembered for a while by the id of its life,
-and of each replica the newest start is, so that a heartbeat that was held up on its way brings no
-dead instance back and ends no newer one.
+Every change increments the version. The directory remembers the ids of incarnations that are gone
+and the latest start of each replica for a limited time. So a delayed heartbeat neither restores an
+incarnation that is gone nor replaces a newer one.
 """
 
 from collections import OrderedDict
@@ -36,7 +36,7 @@
 
     @property
     def instance(self) -> Instance:
-        """The replica as gateways should see it."""
+        """The replica as gateways see it."""
         reported = self.heartbeat.instance
         if self.offered_models is None:
             return reported
@@ -44,7 +44,7 @@
 
 
 class DirectorySnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The whole directory."""
+    """The full directory."""
 
     version: int = 0
     entries: list[DirectoryEntry] = []
@@ -53,7 +53,7 @@
 
 
 class DirectoryChange(msgspec.Struct, frozen=True, array_like=True):
-    """What one version changed; `removed` holds ids."""
+    """The changes of one version; `removed` contains ids."""
 
     version: int
     changed: list[Instance]
@@ -64,8 +64,8 @@
     """Registered replicas by id.
 
     Attributes:
-        version: Rises with every change.
-        last_change: What the newest version changed, or None.
+        version: Increases with every change.
+        last_change: The changes of the latest version, or None.
     """
 
     def __init__(self) -> None:
@@ -77,31 +77,31 @@
 
     @property
     def instances(self) -> list[Instance]:
-        """All instances that are not gone, as gateways should see them."""
+        """All instances that are not gone, as gateways see them."""
         return [entry.instance for entry in self._entries.values()]
 
     @property
     def reported(self) -> list[Instance]:
-        """All instances that are not gone, as they described themselves."""
+        """All instances that are not gone, as they reported themselves."""
         return [entry.heartbeat.instance for entry in self._entries.values()]
 
     @property
     def has_offers(self) -> bool:
-        """Whether a member has ever placed models on an instance that is still here."""
+        """Whether a member has ever placed models on an instance that is still registered."""
         return any(entry.offered_models is not None for entry in self._entries.values())
 
     def find(self, instance_id: str) -> Instance | None:
-        """Return an instance as gateways should see it, or None."""
+        """Return an instance as gateways see it, or None."""
         entry = self._entries.get(instance_id)
         return None if entry is None else entry.instance
 
     def find_reported(self, instance_id: str) -> Instance | None:
-        """Return an instance as it described itself, or None."""
+        """Return an instance as it reported itself, or None."""
         entry = self._entries.get(instance_id)
         return None if entry is None else entry.heartbeat.instance
 
     def changes(self, heartbeat: ReplicaHeartbeat) -> bool:
-        """Whether taking in a heartbeat would change what is known."""
+        """Return whether recording a heartbeat would change the directory."""
         instance = heartbeat.instance
         if instance.instance_id in self._gone:
             return False
@@ -111,14 +111,14 @@
         if heartbeat.sequence <= known.heartbeat.sequence:
             return False
         reported = known.heartbeat.instance
-        return _sticky_state(reported, instance) != reported
+        return _keep_draining(reported, instance) != reported
 
     def instances_of(self, replica: str) -> list[str]:
-        """Return the ids of the lives of a replica that are not gone."""
+        """Return the ids of the incarnations of a replica that are not gone."""
         return [item.instance_id for item in self.reported if item.replica_name == replica]
 
     def _is_superseded(self, instance: Instance) -> bool:
-        """Whether a later life of the replica is known, or of whoever has its address now."""
+        """Return whether a later incarnation of the replica, or at its address, is known."""
         if instance.started_ms < self._newest_started_ms.get(instance.replica_name, 0):
             return True
         return any(
@@ -135,7 +135,7 @@
             self._newest_started_ms.popitem(last=False)
 
     def record(self, heartbeat: ReplicaHeartbeat) -> DirectoryChange | None:
-        """Take in a heartbeat; return what changed, or None."""
+        """Record a heartbeat; return the change, or None."""
         if not self.changes(heartbeat):
             return None
         instance = heartbeat.instance
@@ -145,16 +145,16 @@
         offered_models: list[LoadedModel] | None = None
         loading: list[LoadingModel] = []
         if known is not None:
-            instance = _sticky_state(known.heartbeat.instance, instance)
+            instance = _keep_draining(known.heartbeat.instance, instance)
             if known.offered_models is not None:
                 offered_models = _carry_over(
                     known.offered_models, known.heartbeat.instance.models, instance.models
                 )
-            held = {
+            loaded_names = {
                 model.name
                 for model in (instance.models if offered_models is None else offered_models)
             }
-            loading = [model for model in known.loading if model.name not in held]
+            loading = [model for model in known.loading if model.name not in loaded_names]
         entry = DirectoryEntry(
             ReplicaHeartbeat(instance, heartbeat.sequence), offered_models, loading
         )
@@ -164,12 +164,12 @@
     def offer(
         self, instance_id: str, models: list[LoadedModel], loading: list[LoadingModel]
     ) -> DirectoryChange | None:
-        """Record what gateways may use at an instance; return what changed, or None.
+        """Record which models gateways may use at an instance; return the change, or None.
 
         Args:
             instance_id: The instance.
-            models: What it holds and gateways may use.
-            loading: Models whose load is under way there.
+            models: Loaded models that gateways may use.
+            loading: Models that the instance is loading.
         """
         known = self._entries.get(instance_id)
         if known is None:
@@ -185,7 +185,7 @@
         return self.last_change
 
     def _remove_replaced(self, instance: Instance) -> list[str]:
-        """Whoever had this address before is gone, and so are earlier lives of the replica."""
+        """Remove other instances with the same address or replica name; return their ids."""
         former = [
             known.instance_id
             for known in self.reported
@@ -203,9 +203,10 @@
             self._gone.popitem(last=False)
 
     def drain(self, instance_id: str) -> DirectoryChange | None:
-        """Record that an instance leaves, by its own word; return what changed, or None.
+        """Record that an instance reported that it drains; return the change, or None.
 
-        Heartbeats that still say ready change nothing of it: the state never rises within a life.
+        Later heartbeats with the state `ready` do not revert this, because an incarnation that
+        drains never becomes ready again.
         """
         known = self._entries.get(instance_id)
         if known is None or not known.heartbeat.instance.accepts_work:
@@ -220,30 +221,30 @@
         return self._changed([entry.instance], [])
 
     def remove(self, instance_id: str) -> DirectoryChange | None:
-        """Record that an instance is gone; return what changed, or None."""
+        """Record that an instance is gone; return the change, or None."""
         known = instance_id in self._entries
         self._forget(instance_id)
         return self._changed([], [instance_id]) if known else None
 
     def full_change(self) -> DirectoryChange:
-        """Return everything as one change."""
+        """Return the full directory as one change."""
         return DirectoryChange(self.version, self.instances, [])
 
     def dump(self) -> DirectorySnapshot:
         """Return the state for a snapshot."""
-        entries, born = list(self._entries.values()), list(self._newest_started_ms.items())
-        return DirectorySnapshot(self.version, entries, list(self._gone), born)
+        entries, started = list(self._entries.values()), list(self._newest_started_ms.items())
+        return DirectorySnapshot(self.version, entries, list(self._gone), started)
 
     def load(self, snapshot: DirectorySnapshot) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state from a snapshot."""
         self.version = snapshot.version
         self._entries = {entry.heartbeat.instance.instance_id: entry for entry in snapshot.entries}
         self._gone = OrderedDict((instance_id, None) for instance_id in snapshot.gone)
         self._newest_started_ms = OrderedDict(snapshot.newest_started_ms)
 
 
-def _sticky_state(known: Instance, reported: Instance) -> Instance:
-    """An instance that is draining never becomes ready again."""
+def _keep_draining(known: Instance, reported: Instance) -> Instance:
+    """Return the reported instance, but still draining if it drained before."""
     if known.state is InstanceState.DRAINING and reported.state is InstanceState.READY:
         return msgspec.structs.replace(reported, state=InstanceState.DRAINING)
     return reported
@@ -252,22 +253,22 @@
 def _carry_over(
     offered_models: list[LoadedModel], before: list[LoadedModel], after: list[LoadedModel]
 ) -> list[LoadedModel]:
-    """Carry over to what is offered what has come and gone between two heartbeats.
+    """Apply the models and adapters added or removed between two heartbeats to the offer.
 
-    >>> held = LoadedModel("a"), LoadedModel("b"), LoadedModel("c")
-    >>> [item.name for item in _carry_over([held[0]], [held[0], held[1]], list(held))]
+    >>> loaded = LoadedModel("a"), LoadedModel("b"), LoadedModel("c")
+    >>> [item.name for item in _carry_over([loaded[0]], [loaded[0], loaded[1]], list(loaded))]
     ['a', 'c']
     """
-    old = {held.name: set(held.adapters) for held in before}
-    new = {held.name: set(held.adapters) for held in after}
+    old = {loaded.name: set(loaded.adapters) for loaded in before}
+    new = {loaded.name: set(loaded.adapters) for loaded in after}
     result: list[LoadedModel] = []
-    for held in offered_models:
-        if held.name in old and held.name not in new:
+    for loaded in offered_models:
+        if loaded.name in old and loaded.name not in new:
             continue
-        gone = old.get(held.name, set()) - new.get(held.name, set())
-        come = new.get(held.name, set()) - old.get(held.name, set())
-        adapters = sorted((set(held.adapters) - gone) | come)
-        result.append(LoadedModel(held.name, held.version, adapters))
-    names = {held.name for held in offered_models}
-    result.extend(held for held in after if held.name not in old and held.name not in names)
+        removed = old.get(loaded.name, set()) - new.get(loaded.name, set())
+        added = new.get(loaded.name, set()) - old.get(loaded.name, set())
+        adapters = sorted((set(loaded.adapters) - removed) | added)
+        result.append(LoadedModel(loaded.name, loaded.version, adapters))
+    names = {loaded.name for loaded in offered_models}
+    result.extend(loaded for loaded in after if loaded.name not in old and loaded.name not in names)
     return result
--- a/src/crowsill/state/machine.py
+++ b/src/crowsill/state/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: applies committed commands in order, on every member alike."""
+"""The replicated state machine, which applies committed commands in order on every member."""
 
 import hashlib
 
@@ -61,18 +61,18 @@
 
 
 class StateMachine:
-    """Configuration, claims and orders.
+    """The replicated state of the group.
 
     Attributes:
-        configuration: Configuration and its history.
+        configuration: Configuration with its history.
         claims: Claims of unsafe requests.
         orders: Unsettled orders to engines.
-        routes: The route configuration in force.
-        directory: Replicas that registered themselves.
-        control_addresses: Control processes that belonged to the group or asked for it.
-        missing_models: Requests that models have lacked.
-        quota_use: What tenants may have been granted lately.
-        crashes: Requests under which replicas ended.
+        routes: The route configuration in effect.
+        directory: Self-registered replicas.
+        control_addresses: Addresses of control processes that were members or asked to join.
+        missing_models: Number of requests for models that no engine had loaded.
+        quota_use: Units that tenants were recently granted.
+        crashes: Requests that were running when replicas crashed.
     """
 
     def __init__(self, claim_retention_s: float = CLAIM_RETENTION_S) -> None:
@@ -103,13 +103,13 @@
                 return Acknowledged(self.orders.settle(command.order_id))
 
     def _apply_settlement(self, command: SettleClaim | AbandonHolders) -> bool:
-        """Apply the end of claims; return whether it had any effect."""
+        """Apply the outcome of claims; return whether it had any effect."""
         if isinstance(command, SettleClaim):
             return self.claims.settle(command)
         return self.claims.abandon(set(command.holders)) > 0
 
     def _apply_registration(self, command: Registration) -> bool:
-        """Apply what was registered or noted; return whether it changed anything."""
+        """Apply a registration or a record; return whether it changed anything."""
         match command:
             case PublishRoutes():
                 return self.routes.submit(command.document)
@@ -121,7 +121,7 @@
                 return self._apply_leader_record(command)
 
     def _change_directory(self, command: DirectoryCommand) -> DirectoryChange | None:
-        """Apply what is known of a replica; return what changed, or None."""
+        """Apply a command about a replica; return the change, or None."""
         match command:
             case RecordHeartbeat():
                 return self.directory.record(command.heartbeat)
@@ -133,7 +133,7 @@
                 return self.directory.offer(command.instance_id, command.models, command.loading)
 
     def _apply_crash(self, note: CrashCommand) -> bool:
-        """Apply what was seen of requests under which replicas ended; return whether it is new."""
+        """Apply a command about suspect requests; return whether it changed anything."""
         if isinstance(note, ClearSuspects):
             for fingerprint, ago_s in zip(note.fingerprints, note.completed_ago_s, strict=False):
                 self.crashes.note_completion(fingerprint, note.at_s - ago_s)
@@ -143,7 +143,7 @@
         )
 
     def _apply_leader_record(self, note: LeaderRecord) -> bool:
-        """Apply what a leader noted for its successors; return whether it changed anything."""
+        """Apply what a leader recorded for its successors; return whether it changed anything."""
         match note:
             case RecordControlAddress():
                 return self.control_addresses.record(note.address)
@@ -153,7 +153,7 @@
                 return self.quota_use.record(note.units)
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Encode the full state."""
         return msgspec.msgpack.encode(
             _MachineSnapshot(
                 configuration=self.configuration.current,
@@ -173,7 +173,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an encoded one."""
+        """Replace the full state by an encoded one."""
         snapshot = msgspec.msgpack.decode(data, type=_MachineSnapshot)
         self.configuration.load(snapshot.configuration, snapshot.history)
         self.claims.load(snapshot.claims, snapshot.old_claims)
@@ -186,5 +186,5 @@
         self.crashes.load(snapshot.crashes)
 
     def digest(self) -> str:
-        """A hash of the state; equal on all members that applied the same entries."""
+        """Return a hash of the state, equal on all members that applied the same entries."""
         return hashlib.sha256(self.snapshot()).hexdigest()[:16]
--- a/src/crowsill/state/missing_models.py
+++ b/src/crowsill/state/missing_models.py
@@ -1,19 +1,19 @@
-"""How many requests each model has lacked since an engine held it last, replicated.
+"""Replicated number of requests for each missing model since an engine last had it loaded.
 
-Rare models are loaded when they have lacked enough requests. Each leader counts; where leaders
-change often, none of them alone would ever see enough.
+A rarely used model is loaded after enough requests for it. If leaders change often, no leader alone
+counts enough requests, so each leader records its count for its successors.
 """
 
-# Beyond so many the models that lacked fewest are left out: a record of all takes 1.7 KB (encoded,
-# names of 10 letters), so that its leader sends 3.4 KB/s to four followers at most.
+# Beyond this number the models with the fewest requests are dropped. A full record has 1.7 KB
+# (encoded, names of 10 letters), so that the leader sends at most 3.4 KB/s to four followers.
 MAX_RECORDED_MODELS = 50
 
 
 class MissingModels:
-    """Requests lacked by `service|model`, as the leader recorded them last.
+    """Number of requests by `service|model`, as last recorded by the leader.
 
-    >>> lacked = MissingModels()
-    >>> lacked.record({"s|m": 3.0}), lacked.record({"s|m": 3.0}), lacked.requests
+    >>> missing = MissingModels()
+    >>> missing.record({"s|m": 3.0}), missing.record({"s|m": 3.0}), missing.requests
     (True, False, {'s|m': 3.0})
     """
 
@@ -21,7 +21,7 @@
         self.requests: dict[str, float] = {}
 
     def record(self, requests: dict[str, float]) -> bool:
-        """Replace what was recorded; return whether that changed anything."""
+        """Replace the record; return whether that changed anything."""
         most = most_requested(requests)
         if most == self.requests:
             return False
@@ -30,7 +30,7 @@
 
 
 def most_requested(requests: dict[str, float]) -> dict[str, float]:
-    """Return what is recorded of a count: the models that lacked most.
+    """Return the part of a count that is recorded: the models with the most requests.
 
     >>> most_requested({"s|m": 1.0, "s|n": 2.0})
     {'s|n': 2.0, 's|m': 1.0}
--- a/src/crowsill/state/orders.py
+++ b/src/crowsill/state/orders.py
@@ -9,14 +9,14 @@
     """A committed order.
 
     Attributes:
-        order_id: Rises with every order; with the term it is the fence.
+        order_id: Increases with every order; with the term it is the fence.
         replica_id: The engine.
-        incarnation: The engine's incarnation it is for.
+        incarnation: The engine's incarnation that the order is for.
         kind: Load or unload.
         resource: `model` or `model:adapter`.
-        memory_mib: Memory the resource takes.
+        memory_mib: Memory that the resource needs.
         term: Term of the leader that placed it.
-        placed_s: Wall clock of the placing.
+        placed_s: Wall-clock time when the order was placed.
     """
 
     order_id: int
@@ -30,11 +30,11 @@
 
 
 class OrderTable:
-    """Orders that are not settled; a new leader inherits all of them.
+    """Unsettled orders; a new leader takes over all of them.
 
     Attributes:
-        sizes: Largest memory any order gave for each resource ever ordered, so that a resource
-            that left the configuration is still counted for what it takes.
+        sizes: Largest memory size in any order, for each resource ever ordered, so that the memory
+            of a resource is known after its removal from the configuration.
     """
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
 
     @property
     def next_id(self) -> int:
-        """The id the next order gets."""
+        """The id of the next order."""
         return self._next_id
 
     def place(self, command: PlaceOrder) -> int:
--- a/src/crowsill/state/quota_use.py
+++ b/src/crowsill/state/quota_use.py
@@ -1,11 +1,11 @@
-"""What tenants have been granted lately, as their leader recorded it, replicated.
+"""Replicated record of the units that tenants were recently granted.
 
-A leader records the most that may count before it grants it, so that its successor knows.
+Before a leader grants units, it records an upper bound of them, so that its successor knows it.
 """
 
 
 class QuotaUse:
-    """Units by tenant and age, the youngest first.
+    """Units by tenant and age, the most recent first.
 
     >>> use = QuotaUse()
     >>> use.record({"t": [3.0, 0.0, 0.0]}), use.record({"t": [3.0, 0.0, 0.0]}), use.units
@@ -18,11 +18,11 @@
         self.units: dict[str, list[float]] = {}
 
     def load(self, units: dict[str, list[float]]) -> None:
-        """Replace everything, from a snapshot."""
+        """Replace the state from a snapshot."""
         self.units = units
 
     def record(self, units: dict[str, list[float]]) -> bool:
-        """Replace what is recorded of the tenants named; return whether that changed anything."""
+        """Replace the record of the given tenants; return whether that changed anything."""
         changed = False
         for name, ages in units.items():
             if ages:
--- a/src/crowsill/state/route_store.py
+++ b/src/crowsill/state/route_store.py
@@ -1,4 +1,4 @@
-"""The replicated route configuration: the highest version wins, and is kept as it was sent."""
+"""The replicated route configuration: the document with the highest version, as it was sent."""
 
 import msgspec
 
@@ -7,8 +7,8 @@
     """A route configuration as the operator sent it.
 
     Attributes:
-        version: The operator's version; 0 means that none was ever accepted.
-        content: The document, compressed; opaque here.
+        version: The operator's version; 0 if no document was ever accepted.
+        content: The compressed document, which the state machine does not decode.
     """
 
     version: int = 0
@@ -16,7 +16,7 @@
 
 
 class RouteStore:
-    """Holds the document in force.
+    """Stores the document in effect.
 
     >>> store = RouteStore()
     >>> store.submit(RouteDocument(4, b"x")), store.submit(RouteDocument(3, b"y"))
@@ -29,12 +29,12 @@
         self.current = RouteDocument()
 
     def submit(self, document: RouteDocument) -> bool:
-        """Put a document in force if its version is higher; return whether it was."""
+        """Put a document into effect if its version is higher; return whether it is."""
         if document.version <= self.current.version:
             return False
         self.current = document
         return True
 
     def load(self, document: RouteDocument) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state from a snapshot."""
         self.current = document
