--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -1,4 +1,4 @@
-"""Control members in one process, with disks that can be made to hang, for tests of the roles."""
+"""Control members in one process, whose disks can be made to hang, for tests of the roles."""
 
 import asyncio
 import threading
@@ -21,30 +21,30 @@
 
 
 class HangingDisk:
-    """Lets the writes of one journal through, or none."""
+    """Blocks or allows the writes of one journal."""
 
     def __init__(self, journal):
         self._save = journal.save
-        self._goes_on = threading.Event()
-        self._goes_on.set()
-        journal.save = self._save_when_it_goes_on
+        self._is_running = threading.Event()
+        self._is_running.set()
+        journal.save = self._save_when_it_is_running
 
-    def _save_when_it_goes_on(self, ready):
-        self._goes_on.wait()
+    def _save_when_it_is_running(self, ready):
+        self._is_running.wait()
         self._save(ready)
 
     def hang(self):
-        self._goes_on.clear()
+        self._is_running.clear()
 
-    def go_on(self):
-        self._goes_on.set()
+    def resume(self):
+        self._is_running.set()
 
 
 class ControlGroup:
-    """Three members; each is reached through a relay whose connections can go silent.
+    """Three members, each behind a relay whose connections can be silenced.
 
     Attributes:
-        addresses: Where others reach the members.
+        addresses: Addresses of the relays, at which others reach the members.
     """
 
     def __init__(self, folder, size=3):
@@ -78,16 +78,16 @@
         return service is not None and service.driver is not None and service.driver.is_leader
 
     def follower_number(self):
-        """Return the number of a member that does not lead."""
+        """Return the number of a follower."""
         return next(number for number, role in enumerate(self.roles) if not self._leads(role))
 
     async def publish(self, version):
-        """Have a version of the routes committed."""
+        """Commit a version of the routes."""
         command = SubmitCommand(PublishRoutes(compress_document(version, b"routes")))
 
         async def committed():
             for role, disk in zip(self.roles, self.disks, strict=True):
-                if self._leads(role) and disk._goes_on.is_set():
+                if self._leads(role) and disk._is_running.is_set():
                     reply = await role._service.submit_or_forward(command)
                     if isinstance(reply, Submitted):
                         return True
@@ -97,7 +97,7 @@
 
     async def stop(self):
         for disk in self.disks:
-            disk.go_on()
+            disk.resume()
         for role in self.roles:
             await role.stop()
         for relay in self.relays:
@@ -105,13 +105,13 @@
 
 
 class FollowingGateway:
-    """What keeps a gateway up to date, first at one given member."""
+    """The follower part of a gateway, which first connects to a given member."""
 
     def __init__(self, first):
         self.current = 0
         self.guard = CrashGuard()
         hooks = GatewayHooks(
-            lambda document: None, lambda ended: None, self._on_current, self.guard.adopt
+            lambda document: None, lambda instance_ids: None, self._on_current, self.guard.adopt
         )
         local = LocalIdentity("g1", "g1.1", "z", KEY)
         self.follower = GatewayFollower(
@@ -119,7 +119,7 @@
         )
         self._task = None
 
-    def _on_current(self, gateways, proved_s):
+    def _on_current(self, gateways, proved_at_s):
         self.current += 1
 
     async def start(self):
@@ -140,8 +140,8 @@
     await until_done(done, within_s)
 
 
-async def until_done(wanted, within_s=10.0):
+async def until_done(is_done, within_s=10.0):
     """Wait until an awaitable condition holds."""
     async with asyncio.timeout(within_s):
-        while not await wanted():
+        while not await is_done():
             await asyncio.sleep(0.02)
--- a/tests/test_counted_ends.py
+++ b/tests/test_counted_ends.py
@@ -92,7 +92,7 @@
         others = [gateway for number, gateway in enumerate(gateways) if number != stuck]
         await _report_all(*others)
         await _known(*gateways)
-        group.disks[stuck].go_on()
+        group.disks[stuck].resume()
 
     run(_play(tmp_path, story))
 
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -22,7 +22,7 @@
 from tests.gateway_world import ID as LOCAL_ID
 from tests.gateway_world import answer, good, run, world
 from tests.platform_site import ID, StandInReplica
-from tests.watched_site import PLAYED_S, begin, end, site_of_three
+from tests.watched_site import PLAYED_S, send_requests, site_of_three, start_replicas
 
 RUN_S = 0.1
 
@@ -112,10 +112,10 @@
 @pytest.mark.parametrize(("kind", "attempts"), [("idempotent", 3), ("non_idempotent", 1)])
 def test_a_replica_gets_no_more_from_all_gateways_than_the_limit_it_names(tmp_path, kind, attempts):
     async def scenario(site, replicas):
-        await begin(site, kind, attempts, replicas)
+        await start_replicas(site, kind, attempts, replicas)
         for replica in replicas[:2]:
             replica.name(1.0)
-        return await end(site, replicas)
+        return await send_requests(site, replicas)
 
     with site_of_three(tmp_path) as site:
         replicas = [LimitedReplica(site, number, "till") for number in range(4)]
@@ -130,10 +130,10 @@
 
 def test_what_the_limits_of_all_replicas_leave_is_used_and_the_rest_is_refused_at_once(tmp_path):
     async def scenario(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.name(5.0)
-        return await end(site, replicas)
+        return await send_requests(site, replicas)
 
     with site_of_three(tmp_path) as site:
         replicas = [LimitedReplica(site, number, "till") for number in range(2)]
@@ -153,10 +153,10 @@
 
 def test_a_limit_that_is_over_is_learnt_and_its_replica_is_not_sent_all_at_once(tmp_path):
     async def scenario(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.name(2.0)
-        playing = asyncio.create_task(end(site, replicas))
+        playing = asyncio.create_task(send_requests(site, replicas))
         await asyncio.sleep(1.0)
         for replica in replicas:
             replica.name(None)
@@ -174,10 +174,10 @@
 
 def test_a_limit_holds_while_the_leader_is_lost_and_a_gateway_starts_again(tmp_path):
     async def scenario(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.name(2.0)
-        playing = asyncio.create_task(end(site, replicas))
+        playing = asyncio.create_task(send_requests(site, replicas))
         await asyncio.sleep(3.5)
         _leader(site).kill()
         await asyncio.sleep(1.0)
--- a/tests/test_replica_rest.py
+++ b/tests/test_replica_rest.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.platform_site import ID, StandInReplica
-from tests.watched_site import begin, end, play, site_of_three
+from tests.watched_site import play, send_requests, site_of_three, start_replicas
 
 RUN_S = 0.2
 # A replica that sheds has so many places, one that does not has room for all.
@@ -55,7 +55,7 @@
         self.running = 0
         self.rests = []
         self.arrivals = []
-        self.says_leaving = False
+        self.announces_draining = False
 
     async def _serve(self, reader, writer):
         with contextlib.suppress(asyncio.CancelledError):
@@ -81,7 +81,7 @@
             status, extra, answer = await super()._answer(first, headers, body)
         finally:
             self.running -= 1
-        if self.says_leaving:
+        if self.announces_draining:
             extra = [*extra, "Server-Leaving: 1"]
         return status, extra, answer
 
@@ -148,10 +148,10 @@
     """
 
     async def shed_from_now_on(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.places = 0
-        return await end(site, replicas)
+        return await send_requests(site, replicas)
 
     with site_of_three(tmp_path) as site:
         replicas = [WatchedReplica(site, number, "till") for number in range(2)]
--- a/tests/watched_site.py
+++ b/tests/watched_site.py
@@ -1,4 +1,4 @@
-"""A site with three gateways and watched replicas, and requests that come without waiting."""
+"""A site with three gateways and observed replicas, and requests sent without waiting."""
 
 import asyncio
 import contextlib
@@ -10,48 +10,48 @@
 from tests.platform_site import ID, PlatformSite, configuration
 
 PLAYED_S = 8.0
-PAUSE_S = 0.0125
+REQUEST_INTERVAL_S = 0.0125
 
 
 async def send(session, front, path):
-    """Send one; return when it was sent and ended, its status, the gateway and its headers."""
+    """Send a request; return the times of sending and end, status, gateway and response headers."""
     headers = {"Host": "shop.example", ID: os.urandom(8).hex(), "X-From": front.name}
-    sent_s = time.monotonic()
+    sent_at_s = time.monotonic()
     try:
         url = f"http://{front.front}{path}"
         async with session.post(url, data=b"x", headers=headers) as response:
             await response.read()
-            said = response.headers
-            return sent_s, time.monotonic(), response.status, front.name, said
+            response_headers = response.headers
+            return sent_at_s, time.monotonic(), response.status, front.name, response_headers
     except (aiohttp.ClientError, TimeoutError):
-        return sent_s, time.monotonic(), 0, front.name, {}
+        return sent_at_s, time.monotonic(), 0, front.name, {}
 
 
-async def keep_sending(fronts, path, until_s, pause_s=PAUSE_S):
-    """Send to gateways in turn without waiting; return what came of each."""
+async def keep_sending(fronts, path, until_at_s, interval_s=REQUEST_INTERVAL_S):
+    """Send requests to the gateways in turn, without waiting; return their results."""
     timeout = aiohttp.ClientTimeout(total=5.0)
     tasks = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
-        while time.monotonic() < until_s:
+        while time.monotonic() < until_at_s:
             front = fronts[len(tasks) % len(fronts)]
             tasks.append(asyncio.create_task(send(session, front, path)))
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(interval_s)
         return await asyncio.gather(*tasks)
 
 
 def routes(kind, attempts):
-    """A configuration with one route."""
+    """Return a configuration with one route."""
     document = configuration(1)
     document["routes"] = [{**document["routes"][0], "kind": kind, "maxAttempts": attempts}]
-    # A gateway that has just started takes an eighth of the connections; none is to lack any here.
+    # A gateway that has just started accepts an eighth of the connections, so the limit is large.
     document["services"][0]["maxConns"] = 400
     return document
 
 
 @contextlib.contextmanager
 def site_of_three(folder):
-    """Five members and three gateways, started."""
+    """Start a site of five members and three gateways."""
     site = PlatformSite(folder, fronts=3)
     site.start()
     try:
@@ -60,33 +60,35 @@
         site.stop()
 
 
-async def play(site, kind, attempts, replicas, leaving=()):
-    """Begin, and send requests for a while; return what came of each."""
-    await begin(site, kind, attempts, replicas)
-    # Not before: what is asked until all serve would tell the gateways of it.
-    for replica in leaving:
-        replica.says_leaving = True
-    return await end(site, replicas)
+async def play(site, kind, attempts, replicas, draining=()):
+    """Start the replicas and send requests for `PLAYED_S`; return their results."""
+    await start_replicas(site, kind, attempts, replicas)
+    # Only now: earlier responses to the start-up requests would announce it to the gateways.
+    for replica in draining:
+        replica.announces_draining = True
+    return await send_requests(site, replicas)
 
 
-async def begin(site, kind, attempts, replicas):
-    """Start the replicas, and wait until all gateways serve."""
+async def start_replicas(site, kind, attempts, replicas):
+    """Start the replicas, and wait until all gateways serve requests."""
     assert await site.publish(routes(kind, attempts)) == 200
     for replica in replicas:
         await replica.start()
 
     async def served():
-        named = [{"X-From": front.name} for front in site.fronts]
-        asked = zip(site.fronts, named, strict=True)
-        return [(await site.ask(front, "/pay/a", name))[0] for front, name in asked] == [200] * 3
+        headers = [{"X-From": front.name} for front in site.fronts]
+        pairs = zip(site.fronts, headers, strict=True)
+        return [(await site.ask(front, "/pay/a", header))[0] for front, header in pairs] == [
+            200
+        ] * 3
 
     await site.until(served)
     await asyncio.sleep(1.0)
 
 
-async def end(site, replicas):
-    """Send requests for a while; return what came of each."""
-    answers = await keep_sending(site.fronts, "/pay/a", time.monotonic() + PLAYED_S)
+async def send_requests(site, replicas):
+    """Send requests for `PLAYED_S`; return their results."""
+    results = await keep_sending(site.fronts, "/pay/a", time.monotonic() + PLAYED_S)
     for replica in replicas:
         await replica.stop()
-    return answers
+    return results
