--- a/tests/test_finding_the_group.py
+++ b/tests/test_finding_the_group.py
@@ -1,45 +1,36 @@
-"""Processes that know nothing but seeds find a group that stands, whoever the seeds are.
+"""Processes that know only their seeds find an existing group, whichever processes the seeds are.
 
-What happened: after a loss of power of all machines, in which two of five members lost their disks
-as well, every gateway refused every request until the end of the day, although the three other
-members had elected a leader within 0.2 s.
-
-The sequence: a turnover had made seeds of the two members and of a control process without a disk.
-All three came back without any memory. Gateways, the blank members and the process without a disk
-asked nobody but these three, each of which knew no leader; the members that did know the group
-waited to be asked.
-
-What settled it: E300 of the new leader, no E312 (leader found) from the process without a disk any
-more, no E309 (a member joins) from the blank members, and E201 "no configuration is known yet" from
-all gateways. With the first members as seeds the same losses were over within two seconds.
+All power is lost, and with it the disks of two of five members. The seeds of all processes are
+these two members and a process without a disk, so no seed knows the group. Unless the leader
+announces the group, every gateway rejects all requests, although a leader is elected at once.
 """
 
 import asyncio
 
 from tests.platform_site import PlatformSite, StandInReplica, configuration
 
-SERVED_WITHIN_S = 12.0
-JOINED_WITHIN_S = 8.0
+MAX_UNSERVED_S = 12.0
+MAX_JOIN_S = 8.0
 
 
 def run(scenario):
     asyncio.run(asyncio.wait_for(scenario, 90))
 
 
-def restart_all(site, lost, seeds_of):
-    """Kill every process, lose the disks of some, and start all with other seeds."""
+def restart_all(site, emptied, seeds_for):
+    """Kill every process, erase some disks, and start all processes with other seeds."""
     for machine in site.machines:
         machine.kill()
-    for machine in lost:
+    for machine in emptied:
         machine.wipe()
         machine.log.write_text("")
     for machine in site.machines:
-        machine.seeds = seeds_of(machine)
+        machine.seeds = seeds_for(machine)
         machine.start()
 
 
-async def assert_found_again(site, lost, version):
-    """Every gateway serves what was acknowledged, and the blank members belong to the group."""
+async def assert_recovered(site, emptied, version):
+    """Check that gateways serve the acknowledged routes and that empty members rejoin the group."""
 
     async def served():
         for front in site.fronts:
@@ -51,38 +42,38 @@
                 return False
         return True
 
-    await site.until(served, SERVED_WITHIN_S)
+    await site.until(served, MAX_UNSERVED_S)
     status, content = await site.call_whole("GET", "/config")
     assert status == 200 and f'"version": {version}'.encode() in content
 
-    async def joined():
-        return all(" E309 " in machine.log.read_text() for machine in lost)
+    async def have_joined():
+        return all(" E309 " in machine.log.read_text() for machine in emptied)
 
-    await site.until(joined, JOINED_WITHIN_S)
-    # Changes go on through each control process, those without a disk included.
+    await site.until(have_joined, MAX_JOIN_S)
+    # Changes are accepted through each control process, also through those without a disk.
     for number, machine in enumerate(site.redirectors):
         document = configuration(version + 1 + number)
 
-        async def taken(machine=machine, document=document):
+        async def is_accepted(machine=machine, document=document):
             return await site.call("PUT", "/config", document, machine, 4.0) == 200
 
-        await site.until(taken, SERVED_WITHIN_S)
+        await site.until(is_accepted, MAX_UNSERVED_S)
 
 
-def play(tmp_path, redirectors, seeds_of):
-    """Lose all power and the disks of members 3 and 4; `seeds_of` gets the site and a machine."""
+def run_scenario(tmp_path, redirectors, seeds_for):
+    """Cut all power and erase the disks of members 3 and 4; `seeds_for` gets site and machine."""
     site = PlatformSite(tmp_path, core=5, fronts=3, redirectors=redirectors)
     site.start()
 
     async def scenario():
         replica = await StandInReplica(site, 1, "till").start()
         assert await site.publish(configuration(1)) == 200
-        # Processes without a disk have found the group by then.
+        # By then the processes without a disk have found the group.
         await asyncio.sleep(3.0)
         assert await site.publish(configuration(2)) == 200
-        lost = site.core[3:]
-        restart_all(site, lost, lambda machine: seeds_of(site, machine))
-        await assert_found_again(site, lost, 2)
+        emptied = site.core[3:]
+        restart_all(site, emptied, lambda machine: seeds_for(site, machine))
+        await assert_recovered(site, emptied, 2)
         await replica.stop()
 
     try:
@@ -91,38 +82,38 @@
         site.stop()
 
 
-def test_seeds_that_lost_their_disks_are_told_where_the_group_is(tmp_path):
-    play(tmp_path, 1, lambda site, _: [*site.core[3:], *site.redirectors])
+def test_seeds_with_empty_disks_find_the_group(tmp_path):
+    run_scenario(tmp_path, 1, lambda site, _: [*site.core[3:], *site.redirectors])
 
 
-def test_seeds_without_a_disk_are_told_where_the_group_is(tmp_path):
-    play(tmp_path, 3, lambda site, _: site.redirectors)
+def test_seeds_without_a_disk_find_the_group(tmp_path):
+    run_scenario(tmp_path, 3, lambda site, _: site.redirectors)
 
 
-def test_seeds_that_members_do_not_have_in_their_settings_are_told(tmp_path):
-    # Settings are written at different moments: members may name others than the rest does.
-    def seeds_of(site, machine):
+def test_seeds_that_are_not_seeds_of_the_members_find_the_group(tmp_path):
+    # Settings are written at different times, so members may have other seeds than the rest.
+    def seeds_for(site, machine):
         return site.core[:3] if machine in site.core else site.redirectors
 
-    play(tmp_path, 3, seeds_of)
+    run_scenario(tmp_path, 3, seeds_for)
 
 
-def test_a_process_without_a_disk_that_restarts_alone_is_told(tmp_path):
-    # It was in touch until then, and knows nobody but itself: members have other seeds.
+def test_process_without_a_disk_that_restarts_alone_finds_the_group(tmp_path):
+    # After its restart it knows only itself, and the members have other seeds.
     site = PlatformSite(tmp_path, core=3, fronts=1, redirectors=1)
     site.start()
-    beside = site.redirectors[0]
+    redirector = site.redirectors[0]
 
-    async def answers():
-        return await site.call("GET", "/config", machine=beside) == 200
+    async def is_reachable():
+        return await site.call("GET", "/config", machine=redirector) == 200
 
     async def scenario():
         assert await site.publish(configuration(1)) == 200
-        await site.until(answers)
-        beside.kill()
-        beside.seeds = [beside]
-        beside.start()
-        await site.until(answers, SERVED_WITHIN_S)
+        await site.until(is_reachable)
+        redirector.kill()
+        redirector.seeds = [redirector]
+        redirector.start()
+        await site.until(is_reachable, MAX_UNSERVED_S)
 
     try:
         run(scenario())
--- a/tests/test_gateway_use.py
+++ b/tests/test_gateway_use.py
@@ -1,8 +1,8 @@
-"""What gateways have at replicas, told to one another through the members.
+"""The gateways' use of replicas, exchanged through the members.
 
-On a site of 195 gateways and 59 engines 85 in 100 choices were made without any knowledge of an
-engine (E200 with in_flight=0 others=0.0), since each gateway has a request at any one of them every
-47 s only.
+On a site of 195 gateways and 59 engines, a gateway has a request at a given engine only every 47 s.
+Without this exchange, 85 of 100 choices are made without any knowledge of the engine's load (E200
+with in_flight=0 others=0.0).
 """
 
 import asyncio
@@ -25,13 +25,13 @@
 
 
 def registry(*names):
-    listed = [Instance(name, "s", "127.0.0.1:1", "z", 4) for name in names]
-    made = ReplicaRegistry()
-    made.adopt(DirectoryChange(1, listed, []), True, 0.0)
-    return made
+    instances = [Instance(name, "s", "127.0.0.1:1", "z", 4) for name in names]
+    result = ReplicaRegistry()
+    result.adopt(DirectoryChange(1, instances, []), True, 0.0)
+    return result
 
 
-def test_the_newest_word_of_each_gateway_counts_and_an_old_one_does_not():
+def test_sum_includes_the_latest_report_of_each_gateway_and_no_expired_one():
     use = GatewayUse()
     use.note("g1", {"a": ReplicaUse(2, 900)}, 0.0)
     use.note("g2", {"a": ReplicaUse(1), "b": ReplicaUse(1, 50)}, 0.4)
@@ -40,20 +40,20 @@
     assert use.sum(0.45 + REPORT_LIFETIME_S) == {"a": ReplicaUse(1, 100)}
 
 
-def test_a_follower_tells_its_leader_now_and_then_and_a_new_one_at_once():
+def test_follower_reports_to_its_leader_at_intervals_and_to_a_new_one_at_once():
     reports = GatewayReports()
     entry = EntryStatus("g1.1", "g1", "z", 0)
     reports.note(Heartbeat(0, 0, [entry]), 0.0)
     reports.use.note("g1.1", {"a": ReplicaUse(2)}, 0.0)
-    first = reports.make_heartbeat("leader 1", (0, 0), 0.0)
-    assert first.entries == [entry] and first.in_use == {"a": ReplicaUse(2)}
-    soon = reports.make_heartbeat("leader 1", (0, 0), 0.1)
-    assert soon.entries == [] and soon.in_use is None
+    first_heartbeat = reports.make_heartbeat("leader 1", (0, 0), 0.0)
+    assert first_heartbeat.entries == [entry] and first_heartbeat.in_use == {"a": ReplicaUse(2)}
+    next_heartbeat = reports.make_heartbeat("leader 1", (0, 0), 0.1)
+    assert next_heartbeat.entries == [] and next_heartbeat.in_use is None
     assert reports.make_heartbeat("leader 2", (0, 0), 0.15).entries == [entry]
     assert reports.make_heartbeat("leader 2", (0, 0), 0.5).in_use == {"a": ReplicaUse(2)}
 
 
-def test_what_the_leader_told_is_passed_on_for_a_moment_only():
+def test_total_from_the_leader_expires():
     reports = GatewayReports()
     assert reports.total_use(is_leader=False, now_s=0.0) is None
     reports.use.note_total({"a": ReplicaUse(7)}, 1.0)
@@ -61,39 +61,39 @@
     assert reports.total_use(is_leader=False, now_s=1.1 + TOTAL_LIFETIME_S) is None
 
 
-def test_a_gateway_leaves_out_what_it_has_itself():
-    here = registry("a", "b", "c")
-    here.find("a").in_flight = 2
-    here.find("a").pending_prompt_tokens = 300
-    own = here.in_use()
+def test_gateway_subtracts_its_own_use():
+    local_registry = registry("a", "b", "c")
+    local_registry.find("a").in_flight = 2
+    local_registry.find("a").pending_prompt_tokens = 300
+    own = local_registry.in_use()
     assert own == {"a": ReplicaUse(2, 300)}
-    here.note_total_use({"a": ReplicaUse(5, 900), "b": ReplicaUse(1)}, own, 3.0)
-    assert here.find("a").peer_use == ReplicaUse(3, 600)
-    assert here.find("b").peer_use == ReplicaUse(1)
-    assert here.find("c").peer_use == NO_USE
-    assert here.find("a").peer_requests(3.0) == 3.0
-    assert here.find("a").peer_requests(9.0) == 0.0
+    local_registry.note_total_use({"a": ReplicaUse(5, 900), "b": ReplicaUse(1)}, own, 3.0)
+    assert local_registry.find("a").peer_use == ReplicaUse(3, 600)
+    assert local_registry.find("b").peer_use == ReplicaUse(1)
+    assert local_registry.find("c").peer_use == NO_USE
+    assert local_registry.find("a").peer_requests(3.0) == 3.0
+    assert local_registry.find("a").peer_requests(9.0) == 0.0
 
 
-def test_a_leader_sums_what_gateways_and_followers_tell_it(monkeypatch):
+def test_leader_sums_the_reports_of_gateways_and_followers(monkeypatch):
     monkeypatch.setattr(service_module, "PROCESS_STARTED_S", float("-inf"))
-    silent = SimpleNamespace(subscribe=lambda _connection, _heartbeat: None)
+    subscribers = SimpleNamespace(subscribe=lambda _connection, _heartbeat: None)
     grants = QuotaGrants(QuotaBounds(), QuotaUse(), lambda: None)
     local = LocalIdentity("c1", "c1.1", "z", b"k" * 32)
     contacts = GroupContacts([], Random(1))
-    service = MemberService(local, False, silent, None, contacts, quota=grants)
+    service = MemberService(local, False, subscribers, None, contacts, quota=grants)
     service.driver = SimpleNamespace(is_leader=True)
     service.own_freshness = lambda: Currency(0, 3)
     service._has_applied = lambda _freshness: True
 
-    async def tell(source, **in_use):
+    async def send_heartbeat(source, **in_use):
         stream = SimpleNamespace(peer=SimpleNamespace(identity=source, node=source))
         return await service.on_request(stream, Heartbeat(0, 0, [], **in_use))
 
     async def scenario():
-        await tell("g1.1", in_use={"a": ReplicaUse(1, 100)})
-        reply = await tell("c2.1", in_use={"a": ReplicaUse(3), "b": ReplicaUse(2)})
+        await send_heartbeat("g1.1", in_use={"a": ReplicaUse(1, 100)})
+        reply = await send_heartbeat("c2.1", in_use={"a": ReplicaUse(3), "b": ReplicaUse(2)})
         assert reply.in_use == {"a": ReplicaUse(4, 100), "b": ReplicaUse(2)}
-        assert (await tell("e1.1")).in_use is None, "it did not tell, so it is not told"
+        assert (await send_heartbeat("e1.1")).in_use is None, "no report, so no total in return"
 
     asyncio.run(scenario())
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -1,4 +1,4 @@
-"""Whom a process asks for the group, and whom a leader tells where it is."""
+"""Addresses that a process queries for the group, and addresses a leader announces it to."""
 
 import asyncio
 from random import Random
@@ -14,7 +14,7 @@
 from crowsill.transport.group_contacts import MOST_REFERRED, GroupContacts
 from crowsill.transport.messages import Pong, Submitted
 
-LEADER, FOLLOWER, BLANK = (Address("10.0.0.1", 7), Address("10.0.0.2", 7), Address("10.0.0.3", 7))
+LEADER, FOLLOWER, EMPTY = (Address("10.0.0.1", 7), Address("10.0.0.2", 7), Address("10.0.0.3", 7))
 DISKLESS, SEED = Address("10.0.0.4", 7), Address("10.0.0.5", 7)
 
 
@@ -22,36 +22,36 @@
     return GroupContacts(list(seeds), Random(1))
 
 
-def test_members_come_before_hearsay_and_hearsay_before_seeds():
-    made = contacts([SEED])
-    made.learn([LEADER])
-    made.refer([FOLLOWER])
-    assert made.targets() == [LEADER, FOLLOWER, SEED]
+def test_targets_are_members_then_referrals_then_seeds():
+    known_contacts = contacts([SEED])
+    known_contacts.learn([LEADER])
+    known_contacts.refer([FOLLOWER])
+    assert known_contacts.targets() == [LEADER, FOLLOWER, SEED]
 
 
-def test_hearsay_never_replaces_what_a_leader_told():
-    # An old member's word must not take anybody back to members that are no more.
-    made = contacts([SEED])
-    made.learn([LEADER])
-    made.refer([Address("10.9.0.1", number) for number in range(100)])
-    assert made.targets()[0] == LEADER and made.targets()[-1] == SEED
-    assert len(made.targets()) == MOST_REFERRED + 2
+def test_referrals_never_replace_the_members_reported_by_a_leader():
+    # A former member's response must not lead a process back to members that no longer exist.
+    known_contacts = contacts([SEED])
+    known_contacts.learn([LEADER])
+    known_contacts.refer([Address("10.9.0.1", number) for number in range(100)])
+    assert known_contacts.targets()[0] == LEADER and known_contacts.targets()[-1] == SEED
+    assert len(known_contacts.targets()) == MOST_REFERRED + 2
 
 
-def test_what_a_leader_tells_ends_hearsay():
-    # Each address that is no more costs a search 0.3 s: sixteen of them, kept from machines that
-    # were replaced one by one, would hold up a gateway that has just lost all members for 5 s.
-    made = contacts([SEED])
-    made.refer([Address("10.9.0.1", number) for number in range(MOST_REFERRED)])
-    made.learn([LEADER])
-    assert made.targets() == [LEADER, SEED]
+def test_members_reported_by_a_leader_replace_referrals():
+    # Each outdated address costs a search 0.3 s. Sixteen of them, left from machines that were
+    # replaced one by one, would delay a gateway that has just lost all members by 5 s.
+    known_contacts = contacts([SEED])
+    known_contacts.refer([Address("10.9.0.1", number) for number in range(MOST_REFERRED)])
+    known_contacts.learn([LEADER])
+    assert known_contacts.targets() == [LEADER, SEED]
 
 
-def test_an_empty_answer_takes_nothing_away():
-    made = contacts()
-    made.learn([LEADER])
-    made.learn([])
-    assert made.known() == [LEADER]
+def test_empty_response_removes_no_member():
+    known_contacts = contacts()
+    known_contacts.learn([LEADER])
+    known_contacts.learn([])
+    assert known_contacts.known() == [LEADER]
 
 
 def test_control_addresses_are_bounded_and_survive_a_snapshot():
@@ -65,17 +65,17 @@
 
 
 class Site:
-    """Addresses that answer, and who was visited."""
+    """Addresses that respond, and the addresses to which the group was announced."""
 
-    def __init__(self, monkeypatch, answering):
-        self.answering = set(answering)
-        self.visited = []
-        self.silent = [BLANK]
+    def __init__(self, monkeypatch, responding):
+        self.responding = set(responding)
+        self.announced_to = []
+        self.silent = [EMPTY]
         self.seeds = [LEADER, SEED]
         self.machine = StateMachine()
         monkeypatch.setattr(announcer_module, "ask_once", self.ask_once)
         ports = AnnouncerPorts(
-            members=lambda: [LEADER, FOLLOWER, BLANK],
+            members=lambda: [LEADER, FOLLOWER, EMPTY],
             silent_members=lambda: self.silent,
             seeds=lambda: self.seeds,
             recorded=self.machine.control_addresses,
@@ -86,46 +86,46 @@
     async def submit(self, command):
         return Submitted(self.machine.apply(command))
 
-    async def ask_once(self, address, told, _local, _timeout_s):
-        self.visited.append(address)
-        assert told.members == ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"]
-        return Pong() if address in self.answering else None
+    async def ask_once(self, address, referral, _local, _timeout_s):
+        self.announced_to.append(address)
+        assert referral.members == ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"]
+        return Pong() if address in self.responding else None
 
-    def run(self, for_s):
+    def run(self, duration_s):
         async def scenario():
-            running = asyncio.create_task(self.announcer.run())
-            await asyncio.sleep(for_s)
-            running.cancel()
-            await asyncio.gather(running, return_exceptions=True)
+            announcer_task = asyncio.create_task(self.announcer.run())
+            await asyncio.sleep(duration_s)
+            announcer_task.cancel()
+            await asyncio.gather(announcer_task, return_exceptions=True)
 
         asyncio.run(scenario())
 
 
-def test_seeds_silent_members_and_recorded_processes_are_visited_others_are_not(monkeypatch):
-    site = Site(monkeypatch, [BLANK, SEED, DISKLESS])
+def test_group_is_announced_to_seeds_silent_members_and_recorded_processes_only(monkeypatch):
+    site = Site(monkeypatch, [EMPTY, SEED, DISKLESS])
     site.machine.apply(RecordControlAddress("10.0.0.4:7"))
     site.run(0.1)
-    assert set(site.visited) == {BLANK, SEED, DISKLESS} and len(site.visited) == 3
+    assert set(site.announced_to) == {EMPTY, SEED, DISKLESS} and len(site.announced_to) == 3
 
 
-def test_one_that_asks_is_recorded_and_not_visited_while_it_is_in_touch(monkeypatch):
+def test_process_that_queries_is_recorded_and_gets_no_announcement_while_in_contact(monkeypatch):
     site = Site(monkeypatch, [])
     site.silent = site.seeds = []
     site.announcer.note_request("10.0.0.4:7")
     site.run(0.1)
     members = {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}
     assert set(site.machine.control_addresses.addresses) == {"10.0.0.4:7", *members}
-    assert site.visited == []
+    assert site.announced_to == []
     monkeypatch.setattr(announcer_module, "CONTACT_LIFETIME_S", 0.0)
     site.run(0.1)
-    assert site.visited == [DISKLESS]
+    assert site.announced_to == [DISKLESS]
 
 
-@pytest.mark.parametrize(("answering", "most"), [([SEED], 1), ([], 4)])
-def test_a_visit_is_repeated_seldom_after_an_answer_and_ever_less_often_without(
-    monkeypatch, answering, most
+@pytest.mark.parametrize(("responding", "max_announcements"), [([SEED], 1), ([], 4)])
+def test_announcements_are_rare_after_an_acknowledgement_and_back_off_without_one(
+    monkeypatch, responding, max_announcements
 ):
-    site = Site(monkeypatch, answering)
+    site = Site(monkeypatch, responding)
     site.silent, site.seeds = [], [SEED]
     site.run(1.6)
-    assert 1 <= len(site.visited) <= most
+    assert 1 <= len(site.announced_to) <= max_announcements
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -1,8 +1,8 @@
-"""No request ends without an answer by an error of the gateway's own.
+"""Every request gets a response, even after an internal error of the gateway.
 
-An address that is none ended the exchange that chose it: "E105 internal_error where=exchange
-error=ValueError(...)", and the caller's connection was closed without an answer. Bad addresses are
-refused where they enter; whatever else goes wrong is answered, and promises nothing.
+An invalid address used to end the exchange that chose it with "E105 internal_error where=exchange
+error=ValueError(...)", and the caller's connection was closed without a response. Invalid addresses
+are rejected on input. Any other internal error gets a response with an unknown outcome.
 """
 
 import asyncio
@@ -13,23 +13,23 @@
 
 
 class FaultError(Exception):
-    """An error that nobody expects."""
+    """An unexpected error."""
 
 
 def _raise(*_arguments, **_more):
     raise FaultError
 
 
-@pytest.mark.parametrize("place", ["before it is sent", "as its answer is taken in"])
-def test_an_error_of_ones_own_is_answered_and_its_replica_released(monkeypatch, place):
+@pytest.mark.parametrize("fault_point", ["before sending", "while handling the response"])
+def test_internal_error_gets_a_response_and_releases_the_replica(monkeypatch, fault_point):
     async def scenario():
-        async with world(good) as played:
-            role = played.role
-            if place == "before it is sent":
+        async with world(good) as running_world:
+            role = running_world.role
+            if fault_point == "before sending":
                 monkeypatch.setattr(role.demand, "note_request", _raise)
             else:
                 monkeypatch.setattr(role.crash_watch, "note_success", _raise)
-            caller = await played.caller()
+            caller = await running_world.caller()
             status, headers, body = await caller.ask("safe", "r1", b"x")
             assert status == 500 and "retry-after" not in headers
             assert b'"kind":"internal","outcome":"unknown"' in body
@@ -42,19 +42,19 @@
     run(scenario())
 
 
-def test_an_error_after_the_first_byte_shows_as_a_break(monkeypatch):
+def test_internal_error_after_the_first_byte_closes_the_connection(monkeypatch):
     async def streams(headers, writer, _number):
         request_id = headers["crowsill-request-id"]
-        whole = answer(request_id, b"", length=False, extra="Transfer-Encoding: chunked")
-        writer.write(whole + b"1\r\na\r\n")
+        response_head = answer(request_id, b"", length=False, extra="Transfer-Encoding: chunked")
+        writer.write(response_head + b"1\r\na\r\n")
         await asyncio.sleep(0.1)
         writer.write(b"0\r\n\r\n")
         return True
 
     async def scenario():
-        async with world(streams) as played:
-            monkeypatch.setattr(played.role.crash_watch, "note_success", _raise)
-            caller = await played.caller()
+        async with world(streams) as running_world:
+            monkeypatch.setattr(running_world.role.crash_watch, "note_success", _raise)
+            caller = await running_world.caller()
             caller.send("stream", "r1", b"x")
             status, headers = await caller.head()
             assert status == 200
--- a/tests/test_leader_link.py
+++ b/tests/test_leader_link.py
@@ -1,11 +1,8 @@
-"""A follower's stream to the leader, when the leader is lost without a word.
+"""A follower's stream to the leader when the leader fails silently.
 
-What happened: after the loss of a leader its followers went on asking it. Gateways were without a
-confirmation for 0.5 to 1.3 s after the next leader stood, and a change that the operator sent to a
-follower waited up to 3 s for a reply of the lost one.
-
-Cause: the stream was looked after between two questions only, and a question to a machine that
-says nothing lasts until its time-out.
+The follower used to check the stream only between two requests, and a request to a machine that
+sends nothing lasts until its time-out. After the loss of a leader, gateways were without a
+confirmation for 0.5 to 1.3 s after the next election, and an operator's change waited up to 3 s.
 """
 
 import asyncio
@@ -22,7 +19,7 @@
 
 
 class Follower:
-    """What the link needs of a member that follows."""
+    """The parts of a following member that the link uses."""
 
     def __init__(self):
         self.driver = SimpleNamespace(is_leader=False, leader_address=lambda: self.address)
@@ -31,16 +28,16 @@
         self.refreshed = 0
 
     async def refresh_from_leader(self):
-        """Ask through the stream, as the member's service does."""
+        """Send a request through the stream, as the member's service does."""
         await self.leader_stream.request(Currency(0, 1), 100.0)
         self.refreshed += 1
 
 
-async def leader(answers):
-    """Start what a leader listens with; return it and its address."""
+async def start_leader(responds):
+    """Start a leader's server; return it and its address."""
 
     async def on_request(_connection, _body):
-        if not answers:
+        if not responds:
             await asyncio.sleep(100.0)
         return Currency(0, 1)
 
@@ -49,23 +46,23 @@
     return server, f"127.0.0.1:{port}"
 
 
-def test_a_follower_turns_to_the_next_leader_though_the_last_one_never_answers():
+def test_follower_connects_to_the_new_leader_while_the_former_one_never_responds():
     async def scenario():
-        silent, silent_address = await leader(answers=False)
-        sound, sound_address = await leader(answers=True)
+        silent_leader, silent_leader_address = await start_leader(responds=False)
+        new_leader, new_leader_address = await start_leader(responds=True)
         follower = Follower()
         link = LeaderLink(LOCAL, follower, FleetView(), lambda delta: None)
-        task = asyncio.create_task(link.run())
-        follower.address = silent_address
+        link_task = asyncio.create_task(link.run())
+        follower.address = silent_leader_address
         await until(lambda: follower.leader_stream is not None)
-        asked = asyncio.create_task(follower.leader_stream.request(Currency(0, 1), 100.0))
-        follower.address = sound_address
+        pending_request = asyncio.create_task(follower.leader_stream.request(Currency(0, 1), 100.0))
+        follower.address = new_leader_address
         await until(lambda: follower.refreshed > 0)
-        # What was asked of the lost leader fails at once, so that it can be asked of the next.
-        await until(asked.done)
-        task.cancel()
-        await asyncio.gather(task, asked, return_exceptions=True)
-        await silent.stop()
-        await sound.stop()
+        # The request to the lost leader fails at once, so that it can be sent to the next one.
+        await until(pending_request.done)
+        link_task.cancel()
+        await asyncio.gather(link_task, pending_request, return_exceptions=True)
+        await silent_leader.stop()
+        await new_leader.stop()
 
     asyncio.run(asyncio.wait_for(scenario(), 30))
--- a/tests/test_member_sight.py
+++ b/tests/test_member_logs.py
@@ -1,4 +1,4 @@
-"""What a control member's log tells of a disk that hangs and of a process that does not run."""
+"""Log lines of a control member whose disk hangs or whose event loop is blocked."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 
 
 def run_with_group(folder, scenario):
-    """Run a scenario with a group and the log lines of all its members."""
+    """Run a scenario with a group and collect the log lines of all its members."""
 
     async def run():
         lines = []
@@ -23,7 +23,7 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_a_write_that_does_not_end_is_logged(tmp_path):
+def test_hanging_write_is_logged(tmp_path):
     async def scenario(group, lines):
         group.disks[group.follower_number()].hang()
         await group.publish(1)
@@ -32,7 +32,7 @@
     run_with_group(tmp_path, scenario)
 
 
-def test_a_pause_of_a_members_event_loop_is_logged(tmp_path):
+def test_blocked_event_loop_is_logged(tmp_path):
     async def scenario(_group, lines):
         time.sleep(0.5)  # noqa: ASYNC251
         await until(lambda: any(" E313 member_stalled " in line for line in lines))
--- a/tests/test_model_placer.py
+++ b/tests/test_model_placer.py
@@ -1,4 +1,4 @@
-"""Carrying out jobs at registered engines, with a scripted engine in place of the real one."""
+"""Placement on registered engines, with scripted engines in place of real ones."""
 
 import asyncio
 import contextlib
@@ -23,23 +23,23 @@
 
 
 class ScriptedEngines:
-    """Answers every order alike and reports what it was given."""
+    """Answers every order with the same result and reports the models it was given."""
 
     def __init__(self, answer):
         self.answer = answer
         self.orders = []
-        self.says_busy = False
+        self.reports_busy = False
 
     async def order(self, instance, order):
         self.orders.append((instance.instance_id, order.kind.value, order.model))
         return self.answer
 
     async def report(self, instance):
-        return EngineReport(instance.models, [], self.says_busy, 0)
+        return EngineReport(instance.models, [], self.reports_busy, 0)
 
 
 class World:
-    """A placer over a replicated state of its own."""
+    """A placer with its own replicated state."""
 
     def __init__(self, engines, heartbeat_s=0.1, machine=None):
         self.machine = machine or StateMachine()
@@ -81,12 +81,12 @@
 
     def register(self, instance_id, port, *models, on_disk=()):
         instance = Instance(instance_id, "s", f"127.0.0.1:{port}", "z", 8)
-        held = [LoadedModel(name) for name in models]
-        near = list(models) + list(on_disk)
-        found = Instance(
-            instance.instance_id, "s", instance.address, "z", 8, models=held, on_disk=near
+        loaded = [LoadedModel(name) for name in models]
+        local_models = list(models) + list(on_disk)
+        heartbeat_instance = Instance(
+            instance.instance_id, "s", instance.address, "z", 8, models=loaded, on_disk=local_models
         )
-        self.machine.apply(RecordHeartbeat(ReplicaHeartbeat(found, 1)))
+        self.machine.apply(RecordHeartbeat(ReplicaHeartbeat(heartbeat_instance, 1)))
 
     async def until(self, condition, limit_s=10.0):
         async with asyncio.timeout(limit_s):
@@ -107,9 +107,9 @@
     asyncio.run(body())
 
 
-def test_an_engine_whose_address_another_instance_has_is_removed():
-    # Found on scale-1 of the first site: every order to it was refused, and tried again and again,
-    # while what it was thought to have on its disk kept others from loading the model.
+def test_engine_is_removed_when_another_instance_has_its_address():
+    # An engine whose address belongs to another instance rejects every order. If it stays in the
+    # directory, its recorded copy on disk keeps other engines from loading the model.
     async def script(world):
         world.register("i-old", 1, "m0", on_disk=["m1"])
         world.demand = {"s|m1": 20}
@@ -122,29 +122,28 @@
     assert len(world.engines.orders) == 1
 
 
-def test_nothing_is_fetched_ahead_before_all_engines_are_known():
-    # Found on every day: the first engines were given models that engines which registered a
-    # second later held already, in place of models that nobody else held.
+def test_no_model_is_prefetched_before_all_engines_have_registered():
+    # Before all engines have registered, the first ones would load models that engines registering
+    # a second later already hold, in place of models that no engine holds.
     async def script(world):
         world.register("i-1", 1, "m0", "m1")
         await asyncio.sleep(0.3)
         assert world.engines.orders == []
         world.register("i-2", 2, "m2", on_disk=["m3"])
         await asyncio.sleep(0.3)
-        assert world.engines.orders == [], "a third engine may come within a heartbeat"
+        assert world.engines.orders == [], "a third engine may register within a heartbeat"
         await asyncio.sleep(0.9)
 
     world = World(ScriptedEngines(OrderAnswer.ACCEPTED), heartbeat_s=0.4)
     play(world, script)
-    # Free memory is filled with what is likely to be asked for; nothing that is held makes way.
+    # Free memory is filled with models that are likely to be requested; no model is unloaded.
     assert {kind for _, kind, _ in world.engines.orders} <= {"load"}
     assert ("i-2", "load", "m3") in world.engines.orders
 
 
-def test_what_others_orders_have_changed_is_read_again():
-    # Found as a rule broken once on scale-1 of the second site (an engine was overfilled): orders
-    # of a former leader were carried out late, and only their number was taken over from the
-    # report, not what they had loaded.
+def test_engine_state_is_read_again_after_orders_of_a_former_leader():
+    # Orders of a former leader may take effect late. If the new leader adopts only their number
+    # from the report, and not the models that they loaded, it overfills the engine.
     class LateOrders(ScriptedEngines):
         async def order(self, instance, order):
             self.orders.append((order.expected_sequence, order.model))
@@ -154,8 +153,8 @@
             self.reports += 1
             if self.reports == 1:
                 return EngineReport([LoadedModel("m0"), LoadedModel("m1")], [], False, 0)
-            held = [LoadedModel("m0"), LoadedModel("m1"), LoadedModel("m2")]
-            return EngineReport(held, [], False, 2)
+            loaded = [LoadedModel("m0"), LoadedModel("m1"), LoadedModel("m2")]
+            return EngineReport(loaded, [], False, 2)
 
         reports = 0
 
@@ -167,14 +166,14 @@
 
     world = World(LateOrders(OrderAnswer.ACCEPTED))
     play(world, script)
-    # There is no room for a fourth model: one of the three goes first.
+    # There is no room for a fourth model: one of the three is unloaded first.
     assert next(model for expected, model in world.engines.orders if expected == 2) != "m3"
 
 
 class FormerLeadersLoad(ScriptedEngines):
-    """An engine that has just accepted a load of a former leader, which its first report lacks.
+    """An engine that has accepted a load of a former leader, which its first report omits.
 
-    It has room for three models and falls when it is ordered to hold more.
+    It has room for three models and is overfilled when it is ordered to load more.
     """
 
     LOAD_REPORTS = 6
@@ -182,9 +181,9 @@
     def __init__(self):
         super().__init__(OrderAnswer.ACCEPTED)
         self.sequence = 2
-        self.held = ["m0", "m1"]
+        self.loaded = ["m0", "m1"]
         self.reports = 0
-        self.fell = False
+        self.is_overfilled = False
 
     @property
     def is_busy(self):
@@ -194,46 +193,45 @@
         self.orders.append((order.kind.value, order.model))
         if self.is_busy or order.expected_sequence != self.sequence:
             return OrderAnswer.NOT_NOW
-        if order.kind is OrderKind.UNLOAD and order.model not in self.held:
+        if order.kind is OrderKind.UNLOAD and order.model not in self.loaded:
             return OrderAnswer.ALREADY_SO
         self.sequence += 1
         if order.kind is OrderKind.UNLOAD:
-            self.held.remove(order.model)
+            self.loaded.remove(order.model)
         else:
-            self.held.append(order.model)
-            self.fell = self.fell or len(self.held) > 3
+            self.loaded.append(order.model)
+            self.is_overfilled = self.is_overfilled or len(self.loaded) > 3
         return OrderAnswer.ACCEPTED
 
     async def report(self, instance):
         self.reports += 1
         if self.reports == 1:
             return EngineReport([LoadedModel("m0"), LoadedModel("m1")], [], False, 1)
-        if not self.is_busy and "m2" not in self.held and self.sequence == 2:
-            self.held.append("m2")
+        if not self.is_busy and "m2" not in self.loaded and self.sequence == 2:
+            self.loaded.append("m2")
         return EngineReport(
-            [LoadedModel(name) for name in self.held], [], self.is_busy, self.sequence
+            [LoadedModel(name) for name in self.loaded], [], self.is_busy, self.sequence
         )
 
 
-def test_a_former_leaders_load_is_not_taken_for_ones_own():
-    # Found as a rule broken (LIMIT, an engine fell) on trouble-3 of the second site, seed 15838:
-    # the new leader's load was refused because the former one's was under way, and counted as
-    # accepted.
+def test_load_of_a_former_leader_does_not_count_as_accepted_order():
+    # The new leader's load is rejected while the former leader's load is in progress. If it counts
+    # as accepted, the leader overfills the engine.
     async def script(world):
         world.register("i-1", 1, "m0", "m1", on_disk=["m3"])
         world.demand = {"s|m0": 1, "s|m3": 20}
         world.placer.note_waiting({"s|m3": 1})
-        await world.until(lambda: "m3" in world.engines.held)
+        await world.until(lambda: "m3" in world.engines.loaded)
         await asyncio.sleep(0.3)
 
     world = World(FormerLeadersLoad())
     play(world, script)
-    assert not world.engines.fell and len(world.engines.held) == 3
+    assert not world.engines.is_overfilled and len(world.engines.loaded) == 3
 
 
-def test_an_engine_that_takes_an_adapter_says_when_it_will_be_free():
-    # Found on the quiet day of the third site: it seemed busy for an unknown time, so that a copy
-    # on its disk was passed over for a load of six seconds from the store.
+def test_adapter_job_sets_the_expected_end_time():
+    # Without an expected end time, an engine with a running adapter job counts as busy for an
+    # unknown time, and a load of six seconds from the store is chosen over the copy on its disk.
     class Slow(ScriptedEngines):
         async def order(self, instance, order):
             await asyncio.sleep(0.5)
@@ -256,32 +254,32 @@
     play(world, script)
 
 
-def test_what_models_lacked_is_known_to_the_next_leader():
-    # Rare models were never loaded on days with several changes of leader: each leader began to
-    # count the requests that they lacked anew, and none of them lasted for long enough.
+def test_next_leader_continues_counting_requests_for_missing_models():
+    # If each leader starts to count the requests for missing models from zero, rarely used models
+    # are never loaded while leaders change often.
     before = World(ScriptedEngines(OrderAnswer.ACCEPTED))
-    before.engines.says_busy = True
+    before.engines.reports_busy = True
     before.register("i-1", 1, "m0", "m1", "m2")
 
-    async def ask_for_long(world):
+    async def demand_for_long(world):
         world.demand = {"s|m3": 2}
         await asyncio.sleep(2.4)
 
-    play(before, ask_for_long)
+    play(before, demand_for_long)
     assert before.engines.orders == []
     after = World(ScriptedEngines(OrderAnswer.ACCEPTED), machine=before.machine)
 
-    async def ask_once(world):
+    async def demand_briefly(world):
         world.demand = {"s|m0": 4, "s|m1": 4, "s|m2": 4, "s|m3": 1}
         await asyncio.sleep(0.15)
         world.demand = {"s|m0": 4, "s|m1": 4, "s|m2": 4}
         await world.until(lambda: world.engines.orders)
 
-    play(after, ask_once)
+    play(after, demand_briefly)
     assert after.engines.orders[0][1] == "unload"
 
 
-def test_an_engine_that_names_a_limit_gets_no_further_model_while_others_do_not():
+def test_rate_limited_engine_gets_no_model_while_others_have_no_limit():
     async def script(world):
         world.register("i-1", 1, on_disk=["m0"])
         world.register("i-2", 2)
--- a/tests/test_operators_http.py
+++ b/tests/test_operators_http.py
@@ -1,4 +1,4 @@
-"""The operators' listener: bad input, authentication, and TLS."""
+"""The operators' listener: invalid input, authentication, and TLS."""
 
 import asyncio
 import hashlib
@@ -29,8 +29,8 @@
 CERTIFICATE = str(DATA / "tls-certificate.pem")
 
 
-async def with_server(work, tls=None):
-    """Serve a member that has not joined any group, and run `work` with a session and its URL."""
+async def with_server(use_server, tls=None):
+    """Serve a member without a group, and call `use_server` with a session and the server's URL."""
     local = LocalIdentity("c1", "c1.id", "z", b"key")
     machine, fleet = StateMachine(), FleetView()
     subscribers = Subscribers(machine.configuration, fleet)
@@ -52,7 +52,7 @@
     scheme = "http" if tls is None else "https"
     headers = {"Authorization": f"Bearer {TOKEN}"}
     async with aiohttp.ClientSession(headers=headers) as session:
-        result = await work(session, f"{scheme}://127.0.0.1:{server.port}")
+        result = await use_server(session, f"{scheme}://127.0.0.1:{server.port}")
     await server.stop()
     return result
 
@@ -92,36 +92,36 @@
 
 
 @pytest.mark.parametrize(("method", "path", "body", "status", "kind"), BAD)
-def test_bad_requests_get_their_error(method, path, body, status, kind):
-    async def work(session, url):
+def test_invalid_requests_get_the_matching_error(method, path, body, status, kind):
+    async def use_server(session, url):
         async with session.request(method, url + path, data=body) as response:
             return response.status, (await response.json())["kind"]
 
-    assert asyncio.run(with_server(work)) == (status, kind)
+    assert asyncio.run(with_server(use_server)) == (status, kind)
 
 
-def test_only_operators_are_let_in():
-    async def work(session, url):
-        found = []
+def test_requests_without_an_operator_token_are_rejected():
+    async def use_server(session, url):
+        statuses = []
         for token in ("", "Bearer wrong", "Basic operator"):
             async with session.get(
                 f"{url}/v1/status", headers={"Authorization": token}
             ) as response:
-                found.append(response.status)
+                statuses.append(response.status)
         async with session.get(f"{url}/v1/status") as response:
-            found.append(response.status)
+            statuses.append(response.status)
         async with session.get(f"{url}/healthz", headers={"Authorization": ""}) as response:
-            found.append(response.status)
-        return found
+            statuses.append(response.status)
+        return statuses
 
-    assert asyncio.run(with_server(work)) == [401, 401, 401, 200, 200]
+    assert asyncio.run(with_server(use_server)) == [401, 401, 401, 200, 200]
 
 
-def test_a_listener_speaks_tls_by_settings():
-    async def work(session, url):
+def test_listener_uses_tls_if_configured():
+    async def use_server(session, url):
         context = ssl.create_default_context(cafile=CERTIFICATE)
         async with session.get(f"{url}/healthz", ssl=context) as response:
             return response.status
 
     tls = TlsSettings(CERTIFICATE, str(DATA / "tls-key.pem"))
-    assert asyncio.run(with_server(work, tls)) == 200
+    assert asyncio.run(with_server(use_server, tls)) == 200
--- a/tests/test_quarantine_commands.py
+++ b/tests/test_quarantine_commands.py
@@ -1,4 +1,4 @@
-"""What operators see of requests that are held back, and how they lift it."""
+"""Operators' view of quarantined requests, and the command that lifts a quarantine."""
 
 import asyncio
 import hashlib
@@ -20,19 +20,23 @@
 from crowsill.transport.messages import Submitted
 
 TOKEN = "operator"
-CULPRIT = SuspectRequest(b"\x0c" * 16, "r7", "shop.example/pay/a", "till", 0.1)
-VICTIM = SuspectRequest(b"\x0d" * 16, "r8", "shop.example/pay/b", "till", 0.1)
+CRASHING_REQUEST = SuspectRequest(b"\x0c" * 16, "r7", "shop.example/pay/a", "till", 0.1)
+INNOCENT_REQUEST = SuspectRequest(b"\x0d" * 16, "r8", "shop.example/pay/b", "till", 0.1)
 
 
 def machine():
     made = StateMachine()
-    for life, requests in (("i-1", [CULPRIT, VICTIM]), ("i-2", [CULPRIT]), ("i-3", [CULPRIT])):
-        made.apply(RecordCrash(life, requests, 0.0, 1000.0 + int(life[-1])))
+    for instance_id, requests in (
+        ("i-1", [CRASHING_REQUEST, INNOCENT_REQUEST]),
+        ("i-2", [CRASHING_REQUEST]),
+        ("i-3", [CRASHING_REQUEST]),
+    ):
+        made.apply(RecordCrash(instance_id, requests, 0.0, 1000.0 + int(instance_id[-1])))
     return made
 
 
 class Leader:
-    """A member that leads: its service applies at once."""
+    """A leading member whose service applies commands at once."""
 
     def __init__(self, state):
         self._state = state
@@ -45,7 +49,7 @@
 
 @pytest.fixture
 def settings(tmp_path):
-    """The settings file of an operator whose member runs beside this test."""
+    """The settings file of an operator whose member runs in a thread of this test."""
     started, loop = threading.Event(), asyncio.new_event_loop()
     state = machine()
     operations = OperatorService(Settings("c1", "z", "key"), Leader(state), state, FleetView())
@@ -73,28 +77,30 @@
     return CliRunner().invoke(application, ["quarantine", *words])
 
 
-def test_what_is_held_back_is_shown_with_its_reason_and_can_be_lifted(settings):
+def test_quarantined_requests_are_listed_with_their_crashes_and_can_be_lifted(settings):
     shown = command("list", "-s", settings).output
-    assert f"{CULPRIT.fingerprint.hex()} held back since 1970-01-01T00:16:43Z till" in shown
+    assert (
+        f"{CRASHING_REQUEST.fingerprint.hex()} held back since 1970-01-01T00:16:43Z till" in shown
+    )
     assert "shop.example/pay/a (last id r7)" in shown
     assert "ended: i-1 i-2 i-3, the first at 1970-01-01T00:16:41Z" in shown
-    assert VICTIM.fingerprint.hex() not in shown
+    assert INNOCENT_REQUEST.fingerprint.hex() not in shown
     assert (
-        f"{VICTIM.fingerprint.hex()} suspect"
+        f"{INNOCENT_REQUEST.fingerprint.hex()} suspect"
         in command("list", "--suspects", "-s", settings).output
     )
-    assert command("lift", CULPRIT.fingerprint.hex(), "-s", settings).output == "lifted\n"
-    again = command("lift", CULPRIT.fingerprint.hex(), "-s", settings)
+    assert command("lift", CRASHING_REQUEST.fingerprint.hex(), "-s", settings).output == "lifted\n"
+    again = command("lift", CRASHING_REQUEST.fingerprint.hex(), "-s", settings)
     assert again.output == "nothing was counted against it\n"
     assert command("list", "-s", settings).output == "nothing is held back\n"
 
 
-def test_a_fingerprint_that_is_none_is_refused(settings):
+def test_invalid_fingerprint_is_rejected(settings):
     refused = command("lift", "none", "-s", settings)
     assert refused.exit_code == 1 and "not hex" in refused.output
 
 
-def test_a_trace_leads_from_a_refusal_to_the_ends_of_replicas(tmp_path):
+def test_trace_of_a_rejected_request_shows_the_crashes_of_replicas(tmp_path):
     log = tmp_path / "log"
     log.write_text(
         "2026-01-02T03:00:00.000Z ERROR E509 quarantined fingerprint=0c0d request=r1 node=c\n"
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""How soon processes find one another after a loss of all power."""
+"""Recovery times of processes after a full power loss."""
 
 import asyncio
 import socket
@@ -24,23 +24,23 @@
 HEARTBEAT = Heartbeat(0, 0, [EntryStatus("g1.1", "g1", "z", 0)], {}, False)
 
 
-def test_an_address_that_says_nothing_is_given_up_before_the_system_would_ask_it_again():
-    # Found on every day of the third site that ends with all power lost: the opening packet went to
-    # a machine without power, and the system sends it again after a second only.
+def test_connection_attempt_to_a_silent_address_times_out_before_the_first_retransmission():
+    # After a power loss the first packet of a connection may go to a machine without power, and the
+    # operating system retransmits it only after a second.
     async def scenario():
         with socket.socket() as silent:
             silent.bind(("127.0.0.1", 0))
             silent.listen(0)
-            # A full queue of new connections drops further opening packets.
-            fillers = [socket.socket() for _ in range(4)]
-            for filler in fillers:
+            # A full queue of pending connections drops further SYN packets.
+            queue_fillers = [socket.socket() for _ in range(4)]
+            for filler in queue_fillers:
                 filler.setblocking(False)
                 filler.connect_ex(silent.getsockname())
             await asyncio.sleep(0.05)
             started_s = time.monotonic()
             with pytest.raises(TimeoutError):
                 await open_connection(*silent.getsockname(), LOCAL)
-            for filler in fillers:
+            for filler in queue_fillers:
                 filler.close()
             return time.monotonic() - started_s
 
@@ -48,7 +48,7 @@
 
 
 class ElectingDriver:
-    """A member's driver that comes to lead after a while."""
+    """A member's driver that becomes the leader later."""
 
     def __init__(self):
         self.node = SimpleNamespace(membership=Membership())
@@ -62,40 +62,42 @@
         return None
 
 
-class Follows:
-    """A list of followers that takes none."""
+class NoSubscribers:
+    """Subscribers that ignore all subscriptions."""
 
     def subscribe(self, connection, heartbeat):
-        """Nothing is pushed here."""
+        """Do nothing."""
 
 
-def ask_while_electing(monkeypatch, is_fresh):
-    """Ask a member that comes to lead a moment later; return its answer."""
-    age_s = 0.0 if is_fresh else 100.0
+def send_heartbeat_during_election(monkeypatch, has_just_started):
+    """Send a heartbeat to a member that becomes the leader shortly after; return the response."""
+    age_s = 0.0 if has_just_started else 100.0
     monkeypatch.setattr(service_module, "PROCESS_STARTED_S", service_module.monotonic_s() - age_s)
 
     async def scenario():
         service = MemberService(
             LOCAL,
             False,
-            Follows(),
+            NoSubscribers(),
             None,
             GroupContacts([], Random(1)),
             quota=QuotaGrants(QuotaBounds(), QuotaUse(), lambda: None),
         )
         driver = service.driver = ElectingDriver()
         service.own_freshness = lambda: Currency(0, 1) if driver.is_leader else None
-        asking = asyncio.create_task(service.on_request(None, HEARTBEAT))
+        request_task = asyncio.create_task(service.on_request(None, HEARTBEAT))
         await asyncio.sleep(0.1)
         driver.is_leader = True
-        return await asking
+        return await request_task
 
     return asyncio.run(asyncio.wait_for(scenario(), 5))
 
 
-def test_a_member_that_has_just_started_answers_a_gateway_once_a_leader_is_known(monkeypatch):
-    assert isinstance(ask_while_electing(monkeypatch, is_fresh=True), Currency)
+def test_member_that_has_just_started_responds_once_a_leader_is_known(monkeypatch):
+    assert isinstance(send_heartbeat_during_election(monkeypatch, has_just_started=True), Currency)
 
 
-def test_a_member_that_lost_its_leader_sends_gateways_on_at_once(monkeypatch):
-    assert isinstance(ask_while_electing(monkeypatch, is_fresh=False), NotLeader)
+def test_member_that_lost_its_leader_redirects_gateways_at_once(monkeypatch):
+    assert isinstance(
+        send_heartbeat_during_election(monkeypatch, has_just_started=False), NotLeader
+    )
--- a/tests/test_redirector.py
+++ b/tests/test_redirector.py
@@ -1,4 +1,4 @@
-"""A control process without a disk, beside members that have one."""
+"""A control process without a data folder, together with members that have one."""
 
 import asyncio
 from random import Random
@@ -26,8 +26,8 @@
     return LocalIdentity(name, f"{name}.1", "z", b"")
 
 
-async def redirector(seeds):
-    """Start one; return it and its HTTP port."""
+async def start_redirector(seeds):
+    """Start a redirector; return it with its inner port and its HTTP port."""
     inner, outer = free_ports(2)
     control = ControlSettings(
         data_folder="",
@@ -35,24 +35,24 @@
         seeds=seeds,
         registrations=HttpListener(HOST, outer),
     )
-    made = ControlRedirector(control, local(), Random(1))
-    await made.start()
-    return made, inner, outer
+    control_redirector = ControlRedirector(control, local(), Random(1))
+    await control_redirector.start()
+    return control_redirector, inner, outer
 
 
-async def ask(port, method="PUT", path="/instances/i-1?x=1"):
-    """Return status and location of an answer."""
+async def send_request(port, method="PUT", path="/instances/i-1?x=1"):
+    """Return status and location of a response."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(
             method, f"http://{HOST}:{port}{path}", data=b"{}", allow_redirects=False
-        ) as answer,
+        ) as response,
     ):
-        return answer.status, answer.headers.get("Location")
+        return response.status, response.headers.get("Location")
 
 
-async def member(reply):
-    """Start a member that answers everything with one reply; return its address."""
+async def start_member(reply):
+    """Start a member that sends the same reply to every request; return its address and server."""
 
     async def on_request(_connection, body):
         assert isinstance(body, FindGroup)
@@ -62,92 +62,95 @@
     return Address(HOST, await server.start(HOST, 0)), server
 
 
-def test_callers_are_refused_until_a_leader_is_known_and_then_sent_there():
+def test_callers_get_503_until_a_leader_is_known_and_then_a_redirect():
     async def scenario():
-        leader, leading = await member(GroupReferral([f"{HOST}:1"]))
-        follower, following = await member(NotLeader(f"{HOST}:{leader.port}"))
-        made, inner, outer = await redirector([])
+        leader, leader_server = await start_member(GroupReferral([f"{HOST}:1"]))
+        follower, follower_server = await start_member(NotLeader(f"{HOST}:{leader.port}"))
+        control_redirector, inner, outer = await start_redirector([])
         try:
-            assert (await ask(outer))[0] == 503
-            made.use_seeds(ControlSettings("", Address(HOST, inner), seeds=[follower]))
+            assert (await send_request(outer))[0] == 503
+            control_redirector.use_seeds(
+                ControlSettings("", Address(HOST, inner), seeds=[follower])
+            )
             async with asyncio.timeout(5):
-                while (await ask(outer))[0] != 307:
+                while (await send_request(outer))[0] != 307:
                     await asyncio.sleep(0.05)
-            _, location = await ask(outer)
+            _, location = await send_request(outer)
             assert location == f"http://{HOST}:{outer}/instances/i-1?x=1"
-            assert (await ask(outer, "GET", "/config"))[0] == 307
+            assert (await send_request(outer, "GET", "/config"))[0] == 307
         finally:
-            await made.stop()
-            await leading.stop()
-            await following.stop()
+            await control_redirector.stop()
+            await leader_server.stop()
+            await follower_server.stop()
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_one_that_knows_nobody_is_told_and_passes_it_on():
-    # Without a memory and with seeds that know as little, it used to answer "no leader" for ever.
+def test_redirector_without_contacts_learns_the_group_from_a_referral():
+    # A process without stored state whose seeds have none either must not respond "no leader" for
+    # good: it learns the group from the leader's referral.
     async def scenario():
-        leader, leading = await member(GroupReferral([f"{HOST}:1"]))
-        made, inner, outer = await redirector([])
-        own = Address(HOST, inner)
+        leader, leader_server = await start_member(GroupReferral([f"{HOST}:1"]))
+        control_redirector, inner, outer = await start_redirector([])
+        own_address = Address(HOST, inner)
         try:
-            assert (await ask(outer))[0] == 503
-            assert await ask_once(own, FindGroup("x:1"), local(), 1.0) == NotLeader(None)
-            told = GroupReferral([f"{HOST}:{leader.port}"])
-            assert await ask_once(own, told, local(), 1.0) == Pong()
+            assert (await send_request(outer))[0] == 503
+            assert await ask_once(own_address, FindGroup("x:1"), local(), 1.0) == NotLeader(None)
+            referral = GroupReferral([f"{HOST}:{leader.port}"])
+            assert await ask_once(own_address, referral, local(), 1.0) == Pong()
             async with asyncio.timeout(5):
-                while (await ask(outer))[0] != 307:
+                while (await send_request(outer))[0] != 307:
                     await asyncio.sleep(0.05)
-            answer = await ask_once(own, FindGroup("x:1"), local(), 1.0)
-            assert answer.leader == f"{HOST}:{leader.port}"
-            # What the leader itself said counts; hearsay is over.
-            assert answer.members == [f"{HOST}:1"]
+            response = await ask_once(own_address, FindGroup("x:1"), local(), 1.0)
+            assert response.leader == f"{HOST}:{leader.port}"
+            # The leader's own response replaces the addresses from referrals.
+            assert response.members == [f"{HOST}:1"]
         finally:
-            await made.stop()
-            await leading.stop()
+            await control_redirector.stop()
+            await leader_server.stop()
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_a_new_leader_is_pointed_at_as_soon_as_it_says_so(monkeypatch):
-    # Callers were sent to the last leader until the next question, up to 2 s later.
+def test_redirector_follows_a_new_leader_as_soon_as_it_announces_itself(monkeypatch):
+    # Without the announcement callers are redirected to the former leader for up to 2 s.
     monkeypatch.setattr(redirector_module, "REFRESH_INTERVAL_S", 60.0)
 
     async def scenario():
-        new, leading = await member(GroupReferral([f"{HOST}:1"]))
-        old, led = await member(GroupReferral([f"{HOST}:1"]))
-        made, inner, _ = await redirector([old])
+        new, leader_server = await start_member(GroupReferral([f"{HOST}:1"]))
+        old, old_server = await start_member(GroupReferral([f"{HOST}:1"]))
+        control_redirector, inner, _ = await start_redirector([old])
         try:
             async with asyncio.timeout(5):
-                while made._locator.leader != old:
+                while control_redirector._locator.leader != old:
                     await asyncio.sleep(0.01)
-            await led.stop()
-            told = GroupReferral([f"{HOST}:{new.port}"])
-            assert await ask_once(Address(HOST, inner), told, local(), 1.0) == Pong()
+            await old_server.stop()
+            referral = GroupReferral([f"{HOST}:{new.port}"])
+            assert await ask_once(Address(HOST, inner), referral, local(), 1.0) == Pong()
             async with asyncio.timeout(10):
-                while made._locator.leader != new:
+                while control_redirector._locator.leader != new:
                     await asyncio.sleep(0.01)
         finally:
-            await made.stop()
-            await leading.stop()
+            await control_redirector.stop()
+            await leader_server.stop()
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_other_processes_learn_that_it_never_votes():
+def test_redirector_reports_that_it_never_votes():
     async def scenario():
-        made, inner, _ = await redirector([])
+        control_redirector, inner, _ = await start_redirector([])
         try:
-            answer = await bootstrap.check_if_empty(Address(HOST, inner), local("other"))
-            assert answer == MemberBlank("", True, may_vote=False)
+            response = await bootstrap.check_if_empty(Address(HOST, inner), local("other"))
+            assert response == MemberBlank("", True, may_vote=False)
         finally:
-            await made.stop()
+            await control_redirector.stop()
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
 @pytest.mark.parametrize(
-    ("own", "diskless", "expected"),
+    ("own", "without_disk", "expected"),
     [
         (0, set(), [0, 1, 2]),
         (1, set(), None),
@@ -156,28 +159,30 @@
         (2, {0, 1}, [2]),
     ],
 )
-def test_the_first_seed_with_a_disk_forms_the_group(monkeypatch, own, diskless, expected):
-    async def answer(seed, _local):
-        place = SEEDS.index(seed)
-        return MemberBlank(f"m{place}.1", True, may_vote=place not in diskless)
+def test_the_first_seed_with_a_disk_forms_the_group(monkeypatch, own, without_disk, expected):
+    async def response(seed, _local):
+        position = SEEDS.index(seed)
+        return MemberBlank(f"m{position}.1", True, may_vote=position not in without_disk)
 
-    monkeypatch.setattr(bootstrap, "check_if_empty", answer)
+    monkeypatch.setattr(bootstrap, "check_if_empty", response)
     formed = asyncio.run(agree_with_seeds(SEEDS, SEEDS[own], local(f"m{own}")))
     if expected is None:
         assert formed is None
     else:
-        assert [item.host for item in formed.members] == [SEEDS[place].host for place in expected]
+        assert [item.host for item in formed.members] == [
+            SEEDS[position].host for position in expected
+        ]
 
 
-def test_a_seed_that_is_not_blank_means_that_a_group_exists(monkeypatch):
-    async def answer(seed, _local):
+def test_a_seed_that_is_not_empty_shows_that_a_group_exists(monkeypatch):
+    async def response(seed, _local):
         return MemberBlank("m.1", is_blank=seed != SEEDS[2])
 
-    monkeypatch.setattr(bootstrap, "check_if_empty", answer)
+    monkeypatch.setattr(bootstrap, "check_if_empty", response)
     assert asyncio.run(agree_with_seeds(SEEDS, SEEDS[0], local())) is None
 
 
-def test_without_a_disk_seeds_are_needed():
+def test_settings_without_a_data_folder_require_seeds():
     text = (
         'node = "a"\nzone = "z"\n[control]\ndata_folder = ""\nlisten = {host = "1.1.1.1", port = 1}'
     )
--- a/tests/test_registered_fleet.py
+++ b/tests/test_registered_fleet.py
@@ -1,4 +1,4 @@
-"""Directory, routes, budget and self-repair: the pure cores."""
+"""Directory, routes, budget and self-repair: the pure modules."""
 
 from random import Random
 
@@ -19,54 +19,54 @@
 REPAIR = SelfRepair(target_voters=5, dead_after_s=2.0)
 
 
-def beat(instance_id="i-1", sequence=1, address="127.0.0.1:1", state="ready", models=()):
-    held = [LoadedModel(name) for name in models]
-    found = Instance(instance_id, "s", address, "z", 4, InstanceState(state), held)
+def heartbeat(instance_id="i-1", sequence=1, address="127.0.0.1:1", state="ready", models=()):
+    loaded = [LoadedModel(name) for name in models]
+    found = Instance(instance_id, "s", address, "z", 4, InstanceState(state), loaded)
     return ReplicaHeartbeat(found, sequence)
 
 
 # The directory.
 
 
-def test_a_late_heartbeat_changes_nothing():
+def test_late_heartbeat_changes_nothing():
     directory = Directory()
-    directory.record(beat(sequence=7, state="draining"))
-    assert directory.record(beat(sequence=5)) is None
-    assert directory.record(beat(sequence=9)) is None, "draining is for good"
+    directory.record(heartbeat(sequence=7, state="draining"))
+    assert directory.record(heartbeat(sequence=5)) is None
+    assert directory.record(heartbeat(sequence=9)) is None, "draining is permanent"
     assert directory.find("i-1").state is InstanceState.DRAINING
 
 
-def test_a_heartbeat_after_the_end_does_not_bring_an_instance_back():
+def test_heartbeat_after_removal_does_not_restore_the_instance():
     directory = Directory()
-    directory.record(beat())
+    directory.record(heartbeat())
     directory.remove("i-1")
-    assert directory.record(beat(sequence=99)) is None
+    assert directory.record(heartbeat(sequence=99)) is None
     assert directory.instances == []
 
 
-def test_an_address_that_is_reused_ends_its_former_instance():
+def test_reused_address_removes_the_former_instance():
     directory = Directory()
-    directory.record(beat("i-1"))
-    change = directory.record(beat("i-2"))
+    directory.record(heartbeat("i-1"))
+    change = directory.record(heartbeat("i-2"))
     assert change.removed == ["i-1"] and [item.instance_id for item in change.changed] == ["i-2"]
 
 
-def test_what_is_withheld_stays_so_until_it_has_gone_and_come_again():
+def test_withheld_model_stays_withheld_until_it_was_unloaded_and_loaded_again():
     directory = Directory()
-    directory.record(beat(sequence=1, models=["a", "b"]))
+    directory.record(heartbeat(sequence=1, models=["a", "b"]))
     directory.offer("i-1", [LoadedModel("b")], [])
-    # A heartbeat that was made before the unload still tells of both.
-    directory.record(ReplicaHeartbeat(beat(sequence=2, models=["a", "b"]).instance, 2))
-    assert [held.name for held in directory.find("i-1").models] == ["b"]
-    directory.record(beat(sequence=3, models=["b"]))
-    directory.record(beat(sequence=4, models=["b", "a"]))
-    assert {held.name for held in directory.find("i-1").models} == {"a", "b"}
+    # A heartbeat created before the unload still reports both models.
+    directory.record(ReplicaHeartbeat(heartbeat(sequence=2, models=["a", "b"]).instance, 2))
+    assert [loaded.name for loaded in directory.find("i-1").models] == ["b"]
+    directory.record(heartbeat(sequence=3, models=["b"]))
+    directory.record(heartbeat(sequence=4, models=["b", "a"]))
+    assert {loaded.name for loaded in directory.find("i-1").models} == {"a", "b"}
 
 
-def test_a_book_takes_changes_in_order_only():
+def test_registry_adopts_changes_only_in_order():
     registry, directory = ReplicaRegistry(), Directory()
-    first = directory.record(beat("i-1"))
-    second = directory.record(beat("i-1", 2, state="draining"))
+    first = directory.record(heartbeat("i-1"))
+    second = directory.record(heartbeat("i-1", 2, state="draining"))
     assert registry.adopt(second, False, 0.0) == ["i-1"]
     assert registry.adopt(first, False, 0.0) == []
     assert not registry.find("i-1").instance.accepts_work
@@ -76,7 +76,7 @@
     st.one_of(
         st.builds(
             lambda number, sequence, state, models: RecordHeartbeat(
-                beat(f"i-{number}", sequence, f"127.0.0.1:{number % 3}", state, models)
+                heartbeat(f"i-{number}", sequence, f"127.0.0.1:{number % 3}", state, models)
             ),
             st.integers(0, 5),
             st.integers(0, 9),
@@ -101,7 +101,7 @@
 
 
 @given(commands)
-def test_members_agree_and_books_follow(history):
+def test_members_agree_and_registries_follow(history):
     machine, registry = StateMachine(), ReplicaRegistry()
     gone, drained, newest = set(), set(), 0
     for command in history:
@@ -157,8 +157,8 @@
         if window.left(step * 0.1) > 0:
             window.started(step * 0.1)
             started.append(step * 0.1)
-    for begin in started:
-        assert sum(1 for at in started if begin <= at < begin + 5.0) <= 1.4 * 5.0 * 1.1 + 3
+    for begin_s in started:
+        assert sum(1 for at in started if begin_s <= at < begin_s + 5.0) <= 1.4 * 5.0 * 1.1 + 3
 
 
 # Self-repair of a group.
@@ -187,7 +187,7 @@
     assert step(members) is None
 
 
-def test_a_voter_that_is_gone_gives_its_place_only_to_one_that_is_ready():
+def test_lost_voter_is_replaced_only_by_a_member_that_caught_up():
     members = [member(name) for name in "abcde"]
     assert step(members, silent="b") is None
     members.append(member("f", voter=False))
@@ -196,13 +196,13 @@
     assert step(members, silent="b", committed=False) is None
 
 
-def test_a_machine_back_with_an_empty_disk_takes_its_former_selfs_place():
+def test_machine_with_an_empty_disk_replaces_its_former_member():
     members = [member(name) for name in "abcde"]
     members.append(Member("x.2", "b", "10.0.0.98", 1, False, "b.1"))
     without = step(members, silent="b")
     assert "b.1" not in without.ids and len(without.voters) == 4
-    whole = next_membership(without, health(without.members), 1.0, REPAIR)
-    assert "x.2" in whole.voters and len(whole.voters) == 5
+    full = next_membership(without, health(without.members), 1.0, REPAIR)
+    assert "x.2" in full.voters and len(full.voters) == 5
 
 
 @given(st.data())
--- a/tests/test_repeated_heartbeats.py
+++ b/tests/test_repeated_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that differ from the one before in their number alone are read like any other."""
+"""Heartbeats that differ from the previous one only in their number are parsed like any other."""
 
 import sys
 
@@ -17,7 +17,7 @@
     '"service":"s","addr":"10.0.0.1:80","zone":"z","version":"1","slots":4,"state":"ready",'
     '"coldLeftMs":0'
 )
-# What stands where a number, and the word for it, may or may not be what orders heartbeats.
+# Members that contain a number and the key `seq`, which may or may not be the heartbeat's sequence.
 MEMBERS = st.sampled_from(
     [
         '"seq":%s',
@@ -42,7 +42,7 @@
 
 @settings(max_examples=1000)
 @given(st.lists(MEMBERS, max_size=4), st.lists(NUMBERS, min_size=1, max_size=6), st.booleans())
-def test_a_repeated_heartbeat_is_read_as_if_nothing_were_known(members, numbers, begins_with):
+def test_repeated_heartbeat_is_parsed_like_an_unknown_one(members, numbers, begins_with):
     for number in numbers:
         filled = ",".join(member.replace("%s", number) for member in members)
         parts = [filled, FIELDS] if begins_with else [FIELDS, filled]
@@ -50,7 +50,7 @@
         assert read_heartbeat("i-1", body) == read_unknown("i-1", body)
 
 
-def test_long_heartbeats_are_read_too():
+def test_long_heartbeats_are_parsed():
     names = [f"model-{number:04}" for number in range(LONGEST_REPEATED_BYTES // 8)]
     for sequence in (1, 2):
         more = f',"seq":{sequence},"atHand":{{"onDisk":{msgspec.json.encode(names).decode()}}}'
--- a/tests/test_replica_overview.py
+++ b/tests/test_replica_overview.py
@@ -1,4 +1,4 @@
-"""What operators see of replicas that rest, leave, or cannot be reached."""
+"""Operators' view of replicas that are backing off, draining or unreachable."""
 
 import asyncio
 import hashlib
@@ -34,7 +34,7 @@
 
 
 def gateway_view():
-    """What a gateway says that knows a resting, a leaving, an unreachable and a fine replica."""
+    """Return a gateway's exclusions of replicas: backing off, draining and unreachable."""
     registry = ReplicaRegistry()
     listed = [instance(number) for number in range(1, 5)]
     registry.adopt(DirectoryChange(1, listed, []), True, 0.0)
@@ -45,7 +45,7 @@
 
 
 class Member:
-    """A member that leads, or not, and has heard of one gateway."""
+    """A leader or follower that has received a report from one gateway."""
 
     def __init__(self, leads):
         self.driver = SimpleNamespace(is_leader=leads)
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def settings(tmp_path):
-    """The settings file of an operator; of two members the second one leads."""
+    """The settings file of an operator with two members, of which the second leads."""
     started, loop = threading.Event(), asyncio.new_event_loop()
     state = StateMachine()
     for number in range(1, 5):
@@ -92,7 +92,7 @@
     thread.join(10)
 
 
-def test_replicas_are_listed_with_who_sends_them_nothing_why_and_for_how_long(settings):
+def test_replicas_are_listed_with_the_gateways_that_exclude_them_reason_and_time(settings):
     shown = CliRunner().invoke(application, ["replicas", "-s", settings]).output
     assert shown.splitlines() == [
         "till i-1 z 127.0.0.1:1 ready",
@@ -104,8 +104,8 @@
         "  g-1: unreachable",
         "till i-4 z 127.0.0.1:4 ready holds m",
     ]
-    told = CliRunner().invoke(application, ["replicas", "--json", "-s", settings]).output
-    lines = msgspec.json.decode(told, type=list[RegisteredReplicaLine])
+    encoded = CliRunner().invoke(application, ["replicas", "--json", "-s", settings]).output
+    lines = msgspec.json.decode(encoded, type=list[RegisteredReplicaLine])
     assert [(line.instance_id, line.limit_per_s) for line in lines][2:] == [
         ("i-3", 1.5),
         ("i-4", None),
@@ -114,12 +114,12 @@
     assert "i-4" not in shown and "i-1" in shown
 
 
-def test_a_heartbeat_names_few_replicas_the_worst_first():
+def test_heartbeat_reports_a_bounded_number_of_exclusions_the_most_severe_first():
     registry = ReplicaRegistry()
     listed = [instance(number) for number in range(1, 60)]
     registry.adopt(DirectoryChange(1, listed, []), True, 0.0)
     for number in range(1, 60):
         registry.find(f"i-{number}").availability.note_backoff(5.0, now_s=0.0)
     registry.find("i-59").note_draining(0.0)
-    told = registry.excluded(0.0)
-    assert len(told) == MAX_REPORTED_EXCLUSIONS and told[0].instance_id == "i-59"
+    exclusions = registry.excluded(0.0)
+    assert len(exclusions) == MAX_REPORTED_EXCLUSIONS and exclusions[0].instance_id == "i-59"
--- a/tests/test_self_repair.py
+++ b/tests/test_self_repair.py
@@ -1,4 +1,4 @@
-"""Random runs of a group that keeps its size by itself, while disks and machines are lost."""
+"""Random runs of a group that maintains its size while disks and machines are lost."""
 
 import pytest
 
@@ -13,30 +13,30 @@
 
 
 class SelfRepairing(Scenario):
-    """A scenario in which members join and are replaced as on the users' platform."""
+    """A scenario in which members join and are replaced as on a real platform."""
 
     def __init__(self, seed):
         super().__init__(VOTERS, seed)
-        # New members by id, each with the former self whose place it takes.
+        # New members by id, each with the member that it replaces.
         self.joining: dict[str, str] = {}
         self.wipes = 0
 
     def lost(self):
-        """Members that are down, or new and not yet trusted again."""
+        """Members that are down, or new and not yet voters."""
         newest = max(self.group.members.values(), key=lambda item: item.node.commit_index)
         trusted = set(newest.node.membership.voters)
         down = {name for name, item in self.group.members.items() if not item.up}
-        gone = trusted - set(self.group.members)
-        return down | gone | {name for name in self.joining if name not in trusted}
+        removed = trusted - set(self.group.members)
+        return down | removed | {name for name in self.joining if name not in trusted}
 
     def _add(self, replaces):
-        fresh = f"m{self.next_member}"
+        new_member = f"m{self.next_member}"
         self.next_member += 1
-        self.group.members[fresh] = SimulatedMember(self.group, fresh, Disk())
-        self.joining[fresh] = replaces
+        self.group.members[new_member] = SimulatedMember(self.group, new_member, Disk())
+        self.joining[new_member] = replaces
 
     def wipe(self):
-        """Lose a disk; the machine comes back empty, at the same address."""
+        """Lose a disk; the machine restarts empty, at the same address."""
         if len(self.lost()) >= LOST_AT_ONCE:
             return
         victim = self.pick([name for name, item in self.group.members.items() if item.up])
@@ -50,21 +50,23 @@
         self.wipes += 1
 
     def add_standby(self):
-        """A machine is added."""
+        """Add a machine."""
         if len(self.group.members) < VOTERS + 2:
             self._add("")
 
     def repair(self):
-        """What a leader does every tenth of a second."""
+        """Do what a leader does every tenth of a second."""
         leader = self.group.leader()
         if leader is None or leader.node.leader is None:
             return
         membership = leader.node.membership
         change = None
-        for fresh, former in self.joining.items():
-            if membership.find(fresh) is None and self.group.members[fresh].up:
-                replaces = former if former in membership.voters else ""
-                change = membership.with_member(Member(fresh, fresh, "h", 1, False, replaces))
+        for new_member, former_member in self.joining.items():
+            if membership.find(new_member) is None and self.group.members[new_member].up:
+                replaces = former_member if former_member in membership.voters else ""
+                change = membership.with_member(
+                    Member(new_member, new_member, "h", 1, False, replaces)
+                )
                 break
         if change is None:
             health = group_health(leader.node, leader.now_s())
@@ -89,8 +91,8 @@
             harm += [self.crash, self.bounce, self.transfer]
         self.random.choice([*harm, self.restart, self.restart])()
 
-    def until_full(self):
-        """Heal everything; the group must come to its full size by itself."""
+    def repair_until_full(self):
+        """Heal all faults; the group must regain its full size by itself."""
         self.group.heal()
         for _ in range(300):
             self.repair()
@@ -99,18 +101,18 @@
             if leader is None:
                 continue
             voters = leader.node.membership.voters
-            there = [name for name in voters if name in self.group.members]
-            if len(voters) == len(there) == VOTERS and leader.node.membership_is_committed:
+            present = [name for name in voters if name in self.group.members]
+            if len(voters) == len(present) == VOTERS and leader.node.membership_is_committed:
                 return
-        raise AssertionError("the group did not come back to its full size")
+        raise AssertionError("the group did not regain its full size")
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nothing_committed_is_lost_and_the_group_becomes_full_again(seed):
+def test_no_committed_entry_is_lost_and_the_group_regains_its_full_size(seed):
     scenario = SelfRepairing(seed)
     scenario.group.wait_for_leader()
     for _ in range(120):
         scenario.act()
-    scenario.until_full()
+    scenario.repair_until_full()
     scenario.finish()
     assert scenario.wipes > 0
