--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -261,7 +261,7 @@
                 name,
             ),
             started_at_s=self._first_order_at_s,
-            store_loads=self._load_window(name, limits).left(now_s),
+            store_loads=self._load_window(name, limits).loads_left(now_s),
             now_s=now_s,
             is_settled=self._is_settled(name, now_s),
             missed_requests=self._missing_requests_of(name, limits, views),
@@ -329,7 +329,7 @@
             store = self._limits
             window = LoadWindow(store.window_s, limits.store_loads_per_s, store.burst)
             for _ in range(self._predecessor_loads(service, limits)):
-                window.started(self._began_at_s)
+                window.note_load(self._began_at_s)
             self._windows[service] = window
         return window
 
@@ -345,7 +345,7 @@
     def _start(self, job: Job, instance: Instance, service: str, limits: EngineLimits) -> None:
         engine = self._engines[job.instance_id]
         if job.from_store:
-            self._load_window(service, limits).started(monotonic_s())
+            self._load_window(service, limits).note_load(monotonic_s())
         log_event(
             Event.PLACEMENT_DECIDED,
             replica=job.instance_id,
--- a/src/crowsill/placement/adapter_jobs.py
+++ b/src/crowsill/placement/adapter_jobs.py
@@ -1,62 +1,65 @@
-"""Which adapters to bring to which engine: those that requests wait for, then free places. Pure."""
+"""Adapter loads: first the adapters that requests wait for, then others for free slots. Pure."""
 
 from crowsill.model.routes import ModelWeights
 from crowsill.placement.copy_views import EngineView, Job, JobReason, ServiceView
 
-# Expected time of an adapter's load, in seconds.
+# Expected load time of an adapter, in seconds.
 ADAPTER_LOAD_S = 0.02
-# A model without a request for so long counts as idle, in seconds.
-IDLE_S = 8.0
+# A model without a request for this time counts as idle, in seconds.
+IDLE_AFTER_S = 8.0
 
 
 class AdapterJobs:
     """Plans adapter jobs for one service.
 
     Attributes:
-        taken: Ids of engines that have a job already; the planner's own set.
+        assigned: Ids of the engines that have a job already; the set is shared with the planner.
     """
 
-    def __init__(self, view: ServiceView, models: dict[str, ModelWeights], taken: set[str]) -> None:
+    def __init__(
+        self, view: ServiceView, models: dict[str, ModelWeights], assigned: set[str]
+    ) -> None:
         self._view = view
         self._models = models
-        self.taken = taken
+        self.assigned = assigned
 
-    def serve_waiting(self, model: str, adapter: str) -> Job | None:
-        """Return the job that brings an adapter to an engine that holds its model."""
+    def serve_awaited(self, model: str, adapter: str) -> Job | None:
+        """Return the job that loads an adapter at an engine that holds its model, or None."""
         holders = [engine for engine in self._view.engines if model in engine.held]
         if any(adapter in engine.held[model] for engine in holders):
             return None
-        holders = [engine for engine in holders if self._may_take(engine)]
+        holders = [engine for engine in holders if self._accepts_job(engine)]
         if not holders:
             return None
         engine = min(holders, key=lambda item: item.adapters)
         unload: tuple[str, ...] = ()
         if engine.adapters >= engine.limits.adapter_slots or not self._fits(engine, model):
-            victim = self._idlest(engine)
+            victim = self._least_recently_requested(engine)
             if victim is None:
                 return None
             unload = (victim,)
         return _job(engine, unload, model, adapter, JobReason.ADAPTER)
 
-    def fill_places(self) -> list[Job]:
-        """Bring adapters of models in demand near while nothing waits for them.
+    def fill_free_slots(self) -> list[Job]:
+        """Return jobs that load adapters of models in demand before requests wait for them.
 
-        An engine takes no adapter during a load, so one that is there before saves that wait.
+        An engine accepts no adapter during a load, so an adapter that is there before saves
+        requests that wait.
         """
         jobs: list[Job] = []
         for engine in self._view.engines:
-            if not self._may_take(engine) or engine.adapters >= engine.limits.adapter_slots:
+            if not self._accepts_job(engine) or engine.adapters >= engine.limits.adapter_slots:
                 continue
             models = [name for name in engine.held if not self._is_idle(name)]
             for name in sorted(models, key=lambda item: -self._view.demand.get(item, 0.0)):
-                adapter = self._next(engine, name)
+                adapter = self._next_adapter(engine, name)
                 if adapter and self._fits(engine, name):
                     jobs.append(_job(engine, (), name, adapter, JobReason.FREE_SLOT))
                     break
         return jobs
 
-    def _may_take(self, engine: EngineView) -> bool:
-        return engine.accepts_adapter_jobs and engine.instance_id not in self.taken
+    def _accepts_job(self, engine: EngineView) -> bool:
+        return engine.accepts_adapter_jobs and engine.instance_id not in self.assigned
 
     def _fits(self, engine: EngineView, model: str) -> bool:
         used_mb = engine.pending_mb + sum(
@@ -64,14 +67,18 @@
         )
         return used_mb + self._models[model].adapter_memory_mb <= engine.limits.memory_mb
 
-    def _idlest(self, engine: EngineView) -> str | None:
+    def _least_recently_requested(self, engine: EngineView) -> str | None:
+        """Return the adapter to evict: the one whose last request is oldest, or None."""
         resources = [f"{model}/{name}" for model, names in engine.held.items() for name in names]
         awaited = set(self._view.awaited)
         candidates = [resource for resource in resources if resource not in awaited]
         return min(candidates, key=self._view.last_request_at_s, default=None)
 
-    def _next(self, engine: EngineView, name: str) -> str:
-        """Return a model's adapter most worth having at an engine, or an empty text."""
+    def _next_adapter(self, engine: EngineView, name: str) -> str:
+        """Return the adapter of a model to load next at an engine, or an empty string.
+
+        Adapters that no other engine holds come first, then those of highest demand.
+        """
         model = self._models.get(name)
         if model is None:
             return ""
@@ -83,15 +90,15 @@
             for adapter in other.held.get(name, ())
             if other is not engine
         }
-        asked = self._view.demand
+        demand = self._view.demand
         return max(
             missing,
-            key=lambda item: (item not in elsewhere, asked.get(f"{name}/{item}", 0.0)),
+            key=lambda item: (item not in elsewhere, demand.get(f"{name}/{item}", 0.0)),
             default="",
         )
 
     def _is_idle(self, model: str) -> bool:
-        return self._view.now_s - self._view.last_request_at_s(model) > IDLE_S
+        return self._view.now_s - self._view.last_request_at_s(model) > IDLE_AFTER_S
 
 
 def _job(
--- a/src/crowsill/placement/copy_views.py
+++ b/src/crowsill/placement/copy_views.py
@@ -1,4 +1,4 @@
-"""What the planner of copies sees, and what it answers: engines, demand and jobs."""
+"""Input and output of the copy planner: engines, demand and jobs."""
 
 import math
 from dataclasses import dataclass, field
@@ -7,11 +7,12 @@
 from crowsill.model.instances import Instance
 from crowsill.model.routes import EngineLimits, ModelWeights
 
+# Expected remaining time of an overdue job, as a multiple of the time by which it is overdue.
 OVERDUE_FACTOR = 2.0
 
 
 class JobReason(StrEnum):
-    """Why a job is done, for the log."""
+    """The reason for a job, for the log."""
 
     AWAITED = "waited for"
     MORE_LOAD = "more load"
@@ -26,17 +27,17 @@
     """One engine as the planner sees it.
 
     Attributes:
-        instance: What the directory says of it.
-        limits: What it can take.
+        instance: The engine's entry in the directory.
+        limits: Its memory and slots, and the models of its service.
         held: Models that it holds, each with its adapters.
-        is_busy: Whether a model job is under way there, or its state is not known yet.
+        is_busy: Whether a model job is running or its state is not known yet.
         is_fetching: Whether that job is a load from the weight store.
-        free_at_s: Clock when the job under way there will have ended; 0 when that is not known.
-        accepts_adapter_jobs: Whether an adapter job may begin there.
-        pending_mb: Memory of a model whose load is under way.
-        loaded_at_s: Clock of the last load of each resource.
-        loading: Model that is on its way there, or an empty text.
-        limit_per_s: Requests a second that it takes by its own word; None without a limit.
+        free_at_s: Monotonic time when the running job is expected to end, in seconds; 0 if unknown.
+        accepts_adapter_jobs: Whether an adapter job may start.
+        pending_mb: Memory of the model that is being loaded.
+        loaded_at_s: Monotonic time of the last load of each resource, in seconds.
+        loading: The model that is being loaded, or an empty string.
+        limit_per_s: Requests per second that it advertises as its limit; None without a limit.
     """
 
     instance: Instance
@@ -53,40 +54,40 @@
 
     @property
     def loading_models(self) -> tuple[str, ...]:
-        """The model that is on its way and not held yet, if there is one."""
+        """The model that is being loaded and not held yet, if there is one."""
         return (self.loading,) if self.loading and self.loading not in self.held else ()
 
     @property
     def instance_id(self) -> str:
-        """Id of the instance."""
+        """The id of the instance."""
         return self.instance.instance_id
 
     @property
     def adapters(self) -> int:
-        """Number of adapters that it holds."""
+        """The number of adapters that it holds."""
         return sum(len(adapters) for adapters in self.held.values())
 
     @property
     def is_needed(self) -> bool:
-        """Whether it serves something, or has something near, that a long load would hold up."""
-        near = (*self.instance.in_memory, *self.instance.on_disk)
-        return bool(self.held) or any(model not in self.held for model in near)
+        """Whether it holds or has cached a model that a long load would block."""
+        cached = (*self.instance.in_memory, *self.instance.on_disk)
+        return bool(self.held) or any(model not in self.held for model in cached)
 
     def has_cached(self, model: str) -> bool:
-        """Whether its machine keeps a copy of a model, so that a load is short."""
+        """Whether its machine keeps the model in memory or on disk, so that a load is short."""
         return model in self.instance.in_memory or model in self.instance.on_disk
 
     def busy_for_s(self, now_s: float) -> float:
-        """Return how long the job under way there may still take.
+        """Return how much longer the running job may take, in seconds.
 
-        One that is overdue for a while may take as long again.
+        An overdue job may take `OVERDUE_FACTOR` times the time by which it is overdue.
         """
         if self.free_at_s <= 0.0:
             return math.inf
         return max(self.free_at_s - now_s, (now_s - self.free_at_s) * OVERDUE_FACTOR)
 
     def load_time_s(self, model: ModelWeights) -> tuple[float, bool]:
-        """Return how long a load takes, and whether it is fetched from the weight store."""
+        """Return the load time in seconds, and whether the load comes from the weight store."""
         if model.name in self.instance.in_memory:
             return model.host_load_s, False
         if model.name in self.instance.on_disk:
@@ -94,30 +95,30 @@
         return model.load_s, True
 
     def model_mb(self, name: str, model: ModelWeights | None) -> float:
-        """Memory of a held model with its adapters."""
+        """Return the memory of a held model with its adapters, in MB."""
         if model is None:
-            # Nothing is known of it: it may fill the engine.
+            # The size of an unknown model may be up to the engine's memory.
             return self.limits.memory_mb
         return model.memory_mb + len(self.held.get(name, ())) * model.adapter_memory_mb
 
     def used_mb(self, models: dict[str, ModelWeights]) -> float:
-        """Memory that is taken, what is on its way included."""
+        """Return the memory in use, including the model that is being loaded, in MB."""
         held_mb = (self.model_mb(name, models.get(name)) for name in self.held)
         return self.pending_mb + sum(held_mb)
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """Something to do at one engine: take resources away, then load one.
+    """A job at one engine: unload resources, then load one.
 
     Attributes:
         instance_id: The engine.
-        unload: Resources that make way, as `model` or `model/adapter`.
-        model: Model to load, or whose adapter is to be loaded; empty to only unload.
-        adapter: Adapter to load beside the model; empty for the model itself.
-        from_store: Whether the load is fetched from the weight store.
-        load_s: Expected time of the load.
-        reason: Why, for the log.
+        unload: Resources to unload first, as `model` or `model/adapter`.
+        model: Model to load, or the base model of the adapter to load; empty to only unload.
+        adapter: Adapter to load; empty to load the model itself.
+        from_store: Whether the load comes from the weight store.
+        load_s: Expected time of the load, in seconds.
+        reason: Reason for the log.
     """
 
     instance_id: str
@@ -131,24 +132,25 @@
 
 @dataclass(slots=True)
 class ServiceView:
-    """One service of engines at one moment.
+    """The state of one service of engines at one time. All times are monotonic, in seconds.
 
     Attributes:
-        limits: What its engines can take.
+        limits: Memory and slots of its engines, and its models.
         engines: Its engines that accept work.
-        demand: Requests a second by model, and by `model/adapter`.
-        urgent: Those of them that have a short target, by the same names.
-        overloaded: Those whose first event took most of their target, or that found no place.
-        requested_at_s: Clock of the last request by the same names.
-        awaited: Resources that requests wait for or lately waited for, and that no engine held.
-        awaited_since_at_s: Clock since when requests wait, by model, where they still do.
-        missed_requests: Requests since a model was held last, by model.
-        turn_share: Share of the engines that may be loading rare models in turn, at least one; 0
+        demand: Requests per second by model, and by `model/adapter`.
+        urgent: Requests per second with a short target, by the same names.
+        overloaded: Requests per second whose first event took most of their target or that found
+            no free replica, by the same names.
+        requested_at_s: Time of the last request, by the same names.
+        awaited: Resources that requests wait for or recently waited for and that no engine held.
+        awaited_since_at_s: Time since when requests wait, by model, for models still awaited.
+        missed_requests: Requests since a model was last held, by model.
+        turn_share: Share of the engines that may load rare models in turn, at least one engine; 0
             for no turns.
-        started_at_s: Clock when this leadership began to place.
-        store_loads: Loads that may be fetched from the weight store now.
-        is_settled: Whether no engine has appeared for a while, so that what is seen is the fleet.
-        now_s: Clock.
+        started_at_s: Time when this leader started to place models.
+        store_loads: Number of loads from the weight store that may start now.
+        is_settled: Whether no engine has joined for a while, so that the fleet is complete.
+        now_s: The current time.
     """
 
     limits: EngineLimits
@@ -167,5 +169,5 @@
     turn_share: float = 0.34
 
     def last_request_at_s(self, resource: str) -> float:
-        """Clock of the last request for a resource."""
+        """Return the monotonic time of the last request for a resource, in seconds."""
         return self.requested_at_s.get(resource, float("-inf"))
--- a/src/crowsill/placement/engine_loads.py
+++ b/src/crowsill/placement/engine_loads.py
@@ -1,26 +1,27 @@
-"""How much of each engine's time the requests for its models take. Pure.
+"""The share of each engine's time that the requests for its models take. Pure.
 
-A model's requests go to whichever of its holders has most time left, as gateways choose it, so
-that its work is spread over them until all are equally loaded or one has none of it.
+Gateways send the requests of a model to the least loaded of its holders. So its work spreads over
+them until all have the same load, apart from holders that have a higher load without it.
 """
 
 from dataclasses import dataclass, field
 
-# Engine time that one request of a model takes, on average, in seconds (docs/POLICY.md).
+# Mean engine time of one request, in seconds (docs/POLICY.md).
 REQUEST_S = 0.12
-# Share of an engine's time up to which all requests of a model are served in time.
+# Load, as a share of an engine's time, up to which all requests are served in time.
 EASY_LOAD = 0.6
-# From there on that share falls, to this one at full load.
+# Above the easy load, the share of requests served in time falls linearly to `FULL_LOAD_SHARE` at
+# this load.
 FULL_LOAD = 1.4
 FULL_LOAD_SHARE = 0.4
-# Rounds in which models spread their work, each knowing what the others did.
-ROUNDS = 2
-# An engine that names a limit counts as so fast at least.
-LEAST_SPEED = 0.01
+# Number of rounds in which the work of each model is spread again, given that of the others.
+SPREAD_ROUNDS = 2
+# Lower bound of the relative speed of an engine that advertises a limit.
+MIN_SPEED = 0.01
 
 
 def served_share(load: float) -> float:
-    """Return the share of requests served in time where they take a share of an engine's time.
+    """Return the share of the requests that an engine with this load serves in time.
 
     >>> served_share(0.3), round(served_share(1.0), 2), round(served_share(2.8), 2)
     (1.0, 0.7, 0.2)
@@ -33,22 +34,25 @@
 
 
 def speed_under_limit(limit_per_s: float | None) -> float:
-    """Return what part of its usual requests an engine takes that names a limit; 1 without one.
+    """Return the relative speed of an engine that advertises a limit; 1 without one.
 
     >>> speed_under_limit(None), round(speed_under_limit(2.0), 2), speed_under_limit(9.0)
     (1.0, 0.4, 1.0)
     """
     if limit_per_s is None:
         return 1.0
-    return min(1.0, max(LEAST_SPEED, limit_per_s * REQUEST_S / EASY_LOAD))
+    return min(1.0, max(MIN_SPEED, limit_per_s * REQUEST_S / EASY_LOAD))
 
 
 def spread(work: float, others: list[float]) -> list[float]:
-    """Spread work over engines that have other work, so that the highest load is the least.
+    """Spread work over engines that have other work, so that the highest load is minimal.
 
     Args:
-        work: Share of an engine's time that the work takes in all.
-        others: What each engine has to do beside it.
+        work: The total work, as a share of one engine's time.
+        others: Load of each engine from other work.
+
+    Returns:
+        The part of the work for each engine.
 
     >>> spread(1.0, [0.0, 0.5])
     [0.75, 0.25]
@@ -69,12 +73,15 @@
 
 
 def spread_unequal(work: float, others: list[float], speeds: list[float]) -> list[float]:
-    """Spread work as `spread`, over engines of which some do less than a usual one.
+    """Spread work as `spread` does, over engines of unequal speed.
 
     Args:
-        work: Share of a usual engine's time that the work takes in all.
-        others: Load of each engine beside it.
-        speeds: How much of what a usual engine does each one does.
+        work: The total work, as a share of the time of an engine without a limit.
+        others: Load of each engine from other work.
+        speeds: Speed of each engine relative to an engine without a limit.
+
+    Returns:
+        The part of the work for each engine.
 
     >>> spread_unequal(0.75, [0.0, 0.0], [1.0, 0.5])
     [0.5, 0.25]
@@ -96,11 +103,11 @@
 
 @dataclass(slots=True)
 class EngineLoad:
-    """What one engine has to do.
+    """The load of one engine.
 
     Attributes:
-        load: Share of its time that is taken.
-        weight: Weighted requests a second that it serves.
+        load: Share of its time that its requests take.
+        weight: Weighted requests per second that are sent to it.
     """
 
     load: float = 0.0
@@ -109,11 +116,11 @@
 
 @dataclass(slots=True)
 class ModelWork:
-    """What the requests for one model take.
+    """The work of all requests for one model.
 
     Attributes:
-        work: Share of one engine's time.
-        weight: Weighted requests a second.
+        work: Share of one engine's time that the requests take.
+        weight: Weighted requests per second.
         shares: Share of the work at each holder, by engine.
     """
 
@@ -123,7 +130,7 @@
 
 
 class EngineLoads:
-    """Loads of all engines of one view, and what further or fewer copies change."""
+    """Loads of all engines of one view, and the effect of more or fewer copies."""
 
     def __init__(
         self,
@@ -136,7 +143,7 @@
         Args:
             models: Work by model.
             holders: Engines that hold each model.
-            speeds: How much of what a usual engine does some engines do; the others are usual ones.
+            speeds: Speeds by engine, for the engines that are slower than others; the rest have 1.
         """
         self._models = models
         self._speeds = speeds or {}
@@ -146,18 +153,18 @@
                 self._engines.setdefault(engine_id, EngineLoad())
             if engines and name in models:
                 models[name].shares = dict.fromkeys(engines, 1.0 / len(engines))
-        for _ in range(ROUNDS):
+        for _ in range(SPREAD_ROUNDS):
             for model in models.values():
                 if model.shares and model.work > 0.0:
-                    self._balance(model)
-        self._sum()
+                    self._rebalance(model)
+        self._update_loads()
 
-    def _balance(self, model: ModelWork) -> None:
-        self._sum()
+    def _rebalance(self, model: ModelWork) -> None:
+        self._update_loads()
         engines = list(model.shares)
         model.shares = self._shares(model, engines)
 
-    def _sum(self) -> None:
+    def _update_loads(self) -> None:
         for engine in self._engines.values():
             engine.load = engine.weight = 0.0
         for model in self._models.values():
@@ -171,8 +178,8 @@
     def _speed(self, engine_id: str) -> float:
         return self._speeds.get(engine_id, 1.0)
 
-    def _beside(self, model: ModelWork, engine_id: str) -> float:
-        """Load of an engine without that of one model."""
+    def _load_without(self, model: ModelWork, engine_id: str) -> float:
+        """Return the load of an engine without that of one model."""
         engine = self._engines.get(engine_id)
         if engine is None:
             return 0.0
@@ -184,7 +191,7 @@
     def _shares(self, model: ModelWork, engines: list[str]) -> dict[str, float]:
         if model.work <= 0.0:
             return dict.fromkeys(engines, 1.0 / len(engines))
-        others = [self._beside(model, item) for item in engines]
+        others = [self._load_without(model, item) for item in engines]
         if self._speeds:
             parts = spread_unequal(model.work, others, [self._speed(item) for item in engines])
         else:
@@ -192,25 +199,25 @@
         return {item: part / model.work for item, part in zip(engines, parts, strict=True)}
 
     def load_of(self, engine_id: str) -> float:
-        """Return the share of an engine's time that is taken."""
+        """Return the share of an engine's time that its requests take."""
         engine = self._engines.get(engine_id)
         return 0.0 if engine is None else engine.load
 
     def late_weight(self, engine_id: str) -> float:
-        """Return the weighted requests a second that an engine does not serve in time."""
+        """Return the weighted requests per second that an engine doesn't serve in time."""
         engine = self._engines.get(engine_id, EngineLoad())
         return engine.weight * (1.0 - served_share(engine.load))
 
-    def change(self, name: str, engines: list[str]) -> float:
-        """Return the weighted requests a second that are won if a model were held by others.
+    def gain_with_holders(self, name: str, engines: list[str]) -> float:
+        """Return how many more weighted requests per second other holders would serve in time.
 
         Args:
             name: The model.
-            engines: Its holders then, at least one.
+            engines: Its new holders, at least one.
         """
         model = self._models[name]
         after = self._shares(model, engines)
-        won = 0.0
+        gained = 0.0
         for engine_id in dict.fromkeys([*model.shares, *engines]):
             engine = self._engines.get(engine_id, EngineLoad())
             own_before = model.shares.get(engine_id, 0.0)
@@ -221,5 +228,5 @@
             load_after = engine.load + more
             others = max(0.0, engine.weight - own_before * model.weight)
             before = served_share(engine.load) * (others + own_before * model.weight)
-            won += served_share(load_after) * (others + own_after * model.weight) - before
-        return won
+            gained += served_share(load_after) * (others + own_after * model.weight) - before
+        return gained
--- a/src/crowsill/placement/rare_models.py
+++ b/src/crowsill/placement/rare_models.py
@@ -1,89 +1,89 @@
-"""Rare models take turns at the engines, so that each of them is loaded now and then. Pure.
+"""Turns of rare models at the engines, so that each of them is loaded now and then. Pure.
 
-What a load wins is weighed against what it blocks. Where much is asked for, that cost exceeds for
-ever what a model wins that a caller wants every few seconds. So a model that was lacked by several
-requests gets an engine next, whatever it wins; the number of engines that are in such loads is
-bounded, so that what most callers ask for keeps the others.
+The planner compares the gain of a load with the cost of blocking its engine. Under high demand,
+that cost always exceeds the gain of a model that is requested only every few seconds. So a model
+that several requests have missed gets the next engine, whatever its gain. The number of engines
+that run such loads is bounded, so that the others stay available to the models in demand.
 
-A choice of the operator, and off unless it is made: a turn blocks its engine for a load. See
-`ControlSettings.rare_model_turns` for what it costs.
+Turns are off by default, because each one blocks its engine during a load.
+`ControlSettings.rare_model_turns` describes the cost.
 """
 
 from crowsill.model.routes import ModelWeights
 from crowsill.placement.copy_value import CopyValue
 from crowsill.placement.copy_views import EngineView, Job, JobReason, ServiceView
 
-# Requests that a model has lacked since it was held last, tries of one caller included: those of
-# three callers that were refused and came back.
+# Requests that a model must have missed since it was last held, including retries of one caller.
+# That is three callers that were rejected and retried.
 MIN_MISSED_REQUESTS = 6.0
-# A model that nobody has asked for lately gets no turn, in seconds: its callers have given up.
-# Callers that can wait for long do so for 15 to 20 s.
-ASKED_WITHIN_S = 20.0
-# The last copy of a model makes way for a turn only if that model is asked for by at most so much
-# more, in weighted requests a second: two patient requests. Not measured.
-MOST_LOST = 5.0
+# A model without a request for this time gets no turn, in seconds, because its callers have given
+# up. Patient callers wait for 15 to 20 s.
+MAX_REQUEST_AGE_S = 20.0
+# The last copy of a model is evicted for a turn only if its weight exceeds that of the rare model
+# by at most this much, in weighted requests per second. That is two patient requests.
+MAX_EXCESS_VICTIM_WEIGHT = 5.0
 
 
 class RareModels:
-    """Chooses the model whose turn it is, and the engine that loads it."""
+    """Chooses the rare model that is loaded next, and its engine."""
 
     def __init__(
         self, view: ServiceView, value: CopyValue, models: dict[str, ModelWeights]
     ) -> None:
-        """Look at one service.
+        """Create the turns of one service.
 
         Args:
             view: The service.
-            value: Worth of its copies.
+            value: Values of its model copies.
             models: Its models by name.
         """
         self._view = view
         self._value = value
         self._models = models
 
-    def turn(self, free: list[EngineView], store_loads: int) -> Job | None:
-        """Return the load of the model that was lacked most, or None if it is nobody's turn.
+    def next_load(self, free: list[EngineView], store_loads: int) -> Job | None:
+        """Return the load of the model that missed most requests, or None if there is no turn now.
 
         Args:
-            free: Engines that may begin a load.
-            store_loads: Loads that may be fetched from the weight store now.
+            free: Engines that may start a load.
+            store_loads: Number of loads from the weight store that may start now.
         """
-        # A load that is under way counts among the turns until its model is held.
+        # A running load counts as a turn until its model is held.
         share = self._view.turn_share
         if share <= 0.0:
             return None
-        lacked = self._lacked()
-        loading = sum(1 for engine in self._view.engines if engine.loading in lacked)
+        missing = self._missing_models()
+        loading = sum(1 for engine in self._view.engines if engine.loading in missing)
         if loading >= max(1, int(len(self._view.engines) * share)):
             return None
-        for name in lacked:
+        for name in missing:
             if self._value.copies(name) > 0:
                 continue
-            job = self._cheapest(self._models[name], free, store_loads)
+            job = self._cheapest_load(self._models[name], free, store_loads)
             if job is not None:
                 return job
         return None
 
-    def _lacked(self) -> list[str]:
-        """Return the models that were lacked for long enough, most requests first."""
+    def _missing_models(self) -> list[str]:
+        """Return the models that missed enough requests, by the number of requests, descending."""
         view = self._view
-        lacked = [
+        missing = [
             name
             for name, count in view.missed_requests.items()
             if count >= MIN_MISSED_REQUESTS
             and name in self._models
-            and view.now_s - view.last_request_at_s(name) < ASKED_WITHIN_S
+            and view.now_s - view.last_request_at_s(name) < MAX_REQUEST_AGE_S
         ]
-        return sorted(lacked, key=lambda name: -view.missed_requests[name])
+        return sorted(missing, key=lambda name: -view.missed_requests[name])
 
-    def _cheapest(
+    def _cheapest_load(
         self, model: ModelWeights, free: list[EngineView], store_loads: int
     ) -> Job | None:
-        """Return the load that costs the others least."""
+        """Return the load that costs the other models least."""
         found: list[tuple[float, str, Job]] = []
         for engine in free:
             load_s, from_store = engine.load_time_s(model)
-            unload = self._make_room(engine, model)
+            unload = self._models_to_evict(engine, model)
             if unload is None or (from_store and store_loads <= 0):
                 continue
             lost = sum(self._value.loss(engine, victim) for victim in unload)
@@ -93,8 +93,8 @@
             found.append((cost, engine.instance_id, job))
         return min(found)[2] if found else None
 
-    def _make_room(self, engine: EngineView, model: ModelWeights) -> tuple[str, ...] | None:
-        """Return the models that make way, or None when none may."""
+    def _models_to_evict(self, engine: EngineView, model: ModelWeights) -> tuple[str, ...] | None:
+        """Return the models to evict, or None if there can't be enough room."""
         used_mb = engine.used_mb(self._models)
         unload: list[str] = []
         for victim in sorted(engine.held, key=lambda item: self._value.loss(engine, item)):
@@ -109,4 +109,4 @@
     def _is_needed_more(self, victim: str, model: str) -> bool:
         if self._value.copies(victim) > 1:
             return False
-        return self._value.weight(victim) > self._value.weight(model) + MOST_LOST
+        return self._value.weight(victim) > self._value.weight(model) + MAX_EXCESS_VICTIM_WEIGHT
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -53,19 +53,21 @@
     together = loads({"m": ["a"], "n": ["a"], "rare": ["b"]}, m=0.6, n=0.6, rare=0.01)
     apart = loads({"m": ["a"], "n": ["b"], "rare": ["c"]}, m=0.6, n=0.6, rare=0.01)
     assert together.load_of("a") == pytest.approx(1.2)
-    assert together.change("m", ["a", "b"]) > 3.0
-    assert apart.change("m", ["a", "c"]) < 0.5
+    assert together.gain_with_holders("m", ["a", "b"]) > 3.0
+    assert apart.gain_with_holders("m", ["a", "c"]) < 0.5
 
 
 def test_a_copy_on_a_busy_engine_wins_less_than_one_on_an_idle_engine():
     state = loads({"m": ["a"], "n": ["b"], "o": ["c"]}, m=1.2, n=0.7, o=0.1)
-    assert state.change("m", ["a", "c"]) > state.change("m", ["a", "b"]) > 0.0
+    assert state.gain_with_holders("m", ["a", "c"]) > state.gain_with_holders("m", ["a", "b"]) > 0.0
 
 
 def test_what_is_lost_with_a_copy_is_what_it_has_won():
     one = loads({"m": ["a"], "n": ["b"]}, m=1.0, n=0.2)
     two = loads({"m": ["a", "b"], "n": ["b"]}, m=1.0, n=0.2)
-    assert one.change("m", ["a", "b"]) == pytest.approx(-two.change("m", ["a"]), rel=0.2)
+    assert one.gain_with_holders("m", ["a", "b"]) == pytest.approx(
+        -two.gain_with_holders("m", ["a"]), rel=0.2
+    )
 
 
 def test_a_share_in_time_falls_with_the_load_and_never_rises():
--- a/tests/test_registered_fleet.py
+++ b/tests/test_registered_fleet.py
@@ -154,8 +154,8 @@
     window = LoadWindow(5.0, 1.4, 3)
     started = []
     for step in range(400):
-        if window.left(step * 0.1) > 0:
-            window.started(step * 0.1)
+        if window.loads_left(step * 0.1) > 0:
+            window.note_load(step * 0.1)
             started.append(step * 0.1)
     for begin in started:
         assert sum(1 for at in started if begin <= at < begin + 5.0) <= 1.4 * 5.0 * 1.1 + 3
