--- a/src/crowsill/consensus/__init__.py
+++ b/src/crowsill/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""A pure Raft state machine: no I/O, no clock, no randomness of its own."""
+"""Raft as a pure state machine: I/O, time and randomness are supplied by the caller."""
--- a/src/crowsill/consensus/core.py
+++ b/src/crowsill/consensus/core.py
@@ -1,4 +1,4 @@
-"""State that every role of a consensus member shares, and the effects it has produced."""
+"""State that all roles of a consensus member share, with the pending effects."""
 
 import msgspec
 
@@ -15,20 +15,21 @@
 
 
 class RaftCore:
-    """Persistent and volatile state of one member, with the outbox of effects.
+    """Persistent and volatile state of one member, with the pending effects.
 
     Attributes:
-        member_id: This member.
-        group: The group's name.
+        member_id: Id of this member.
+        group: Name of the group.
         hard_state: Term and vote.
         log: The log after the last snapshot.
         membership: The newest membership in the log, committed or not.
         commit_index: Highest index known to be committed.
         role: Current role.
         leader_id: The leader of the current term, if known.
-        last_leader_contact_at_s: Clock when a current leader was last heard.
-        no_leader_since_start: Whether it has neither led nor heard a leader since it started.
-        election_deadline_at_s: Clock when this member campaigns unless it hears a leader.
+        last_leader_contact_at_s: Time of the last message from a current leader.
+        no_leader_since_start: Whether the member has neither led nor received a message from a
+            leader since it started.
+        election_deadline_at_s: Time when this member campaigns unless a leader contacts it.
     """
 
     def __init__(self, setup: MemberSetup) -> None:
@@ -42,8 +43,8 @@
         self.synced_index = setup.log.last_index
         self.role = Role.FOLLOWER
         self.leader_id: str | None = None
-        # A member that restarts may have acknowledged a heartbeat just before: it must not
-        # help to elect another leader while that heartbeat still holds up a lease.
+        # A restarted member may have acknowledged a heartbeat just before the restart. It must not
+        # help to elect another leader while that heartbeat still supports a lease.
         self.last_leader_contact_at_s = setup.now_s
         self.no_leader_since_start = True
         self.ready = Ready()
@@ -61,14 +62,14 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes in the newest membership."""
+        """Whether this member is a voter in the newest membership."""
         return self.member_id in self.membership.voters
 
     def reset_election_deadline(self, now_s: float) -> None:
-        """Draw a new deadline between one and two election timeouts ahead.
+        """Set a random deadline between one and two election timeouts from now.
 
-        A member that has heard no leader since it started asks sooner: if all have restarted, there
-        is none.
+        A member without leader contact since its start uses the shorter initial timeout, because
+        there is no leader if all members have restarted.
         """
         config = self.config
         timeout_s = (
@@ -84,7 +85,7 @@
         Args:
             target: Member id of the receiver.
             message: The message.
-            after_sync: Whether it vouches for something that must be durable first.
+            after_sync: Whether the message depends on state that must be durable first.
         """
         envelope = Envelope(self.group, self.member_id, target, message)
         if after_sync:
@@ -93,18 +94,18 @@
             self.ready.messages.append(envelope)
 
     def set_hard_state(self, hard_state: HardState) -> None:
-        """Change term or vote, to be synced before dependent messages leave."""
+        """Change term or vote, which the driver syncs before it sends dependent messages."""
         old = self.hard_state
-        require(hard_state.term >= old.term, "the term never falls")
+        require(hard_state.term >= old.term, "the term never decreases")
         changed_vote = old.voted_for is not None and hard_state.voted_for != old.voted_for
-        require(not (changed_vote and hard_state.term == old.term), "one vote a term at the most")
+        require(not (changed_vote and hard_state.term == old.term), "at most one vote per term")
         if hard_state == old:
             return
         self.hard_state = hard_state
         self.ready.hard_state = hard_state
 
     def become_follower(self, term: int, leader_id: str | None, now_s: float) -> None:
-        """Follow, in `term`, the leader if it is known."""
+        """Become a follower in `term`, with the leader if it is known."""
         if leader_id is not None:
             self.no_leader_since_start = False
         if term > self.term:
@@ -114,7 +115,7 @@
         self.reset_election_deadline(now_s)
 
     def append_entry(self, entry: LogEntry) -> None:
-        """Append to the log and hand the entry to the driver for syncing."""
+        """Append an entry to the log and pass it to the driver for syncing."""
         self.log.append(entry)
         self.ready.entries.append(entry)
         if entry.kind is EntryKind.MEMBERSHIP:
@@ -122,15 +123,15 @@
             self.membership_index = entry.index
 
     def truncate_from(self, index: int) -> None:
-        """Remove a conflicting tail, which was never committed."""
+        """Remove conflicting entries from `index` on, which were never committed."""
         require(index > self.commit_index, "a committed entry is never removed")
         self.log.truncate_from(index)
         ready = self.ready
         ready.entries = [entry for entry in ready.entries if entry.index < index]
-        # Even entries that are being synced right now must go, so this is unconditional.
+        # Entries that are being synced now must be removed as well, so this is unconditional.
         known = ready.truncate_from
         ready.truncate_from = index if known is None else min(index, known)
-        # An acknowledgement that has not left yet must not vouch for what is removed here.
+        # A pending acknowledgement must not cover entries that are removed here.
         ready.messages_after_sync = [
             envelope
             for envelope in ready.messages_after_sync
@@ -150,7 +151,7 @@
                 self.membership_index = entry.index
 
     def commit_to(self, index: int) -> None:
-        """Raise the commit index and hand newly committed entries to the driver."""
+        """Advance the commit index and pass newly committed entries to the driver."""
         if index <= self.commit_index:
             return
         require(index <= self.log.last_index, "only entries that exist are committed")
@@ -162,8 +163,8 @@
         self.commit_index = index
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace log and state by a leader's snapshot."""
-        require(snapshot.index > self.commit_index, "a snapshot never takes the state back")
+        """Replace log and state by the leader's snapshot."""
+        require(snapshot.index > self.commit_index, "a snapshot never reverts the state")
         self.log.restart_at(snapshot.index, snapshot.term)
         self.commit_index = snapshot.index
         self.synced_index = snapshot.index
@@ -173,11 +174,11 @@
         self.ready.snapshot = snapshot
         self.ready.entries = []
         self.ready.truncate_from = None
-        # Entries committed before are part of the snapshot.
+        # The snapshot contains the entries that were committed before.
         self.ready.committed = []
 
     def compact(self, index: int) -> None:
-        """Forget entries up to `index`, which a local snapshot now covers."""
+        """Drop entries up to `index`, which a local snapshot covers."""
         require(index <= self.commit_index, "only committed entries are compacted")
         self.log.compact(index)
 
--- a/src/crowsill/consensus/election.py
+++ b/src/crowsill/consensus/election.py
@@ -6,12 +6,12 @@
 
 
 class Election:
-    """The campaign of one member, and its votes for others."""
+    """The campaign of one member, and its votes for other members."""
 
     def __init__(self, core: RaftCore) -> None:
         self._core = core
         self._votes: dict[str, bool] = {}
-        # Voters that have restarted and heard no leader since, as they told in this campaign.
+        # Voters that reported in this campaign that they had no leader contact since their start.
         self._restarted_voters: set[str] = set()
         self._transfer = False
 
@@ -19,11 +19,11 @@
         """Start a campaign.
 
         Args:
-            now_s: The clock.
-            transfer: True when the leader asked for it: the pre-vote is skipped.
+            now_s: Current monotonic time.
+            transfer: Whether the leader requested the campaign, which skips the pre-vote.
 
         Returns:
-            True when this member is the only voter and has won already.
+            True if this member is the only voter and has already won.
         """
         core = self._core
         self._transfer = transfer
@@ -50,7 +50,7 @@
         request = VoteRequest(term, last_index, last_term, pre_vote, self._transfer)
         for voter in core.membership.voters:
             if voter != core.member_id:
-                # The own vote must be durable before others can count on it.
+                # The member's own vote must be durable before other members respond to it.
                 core.send(voter, request, after_sync=True)
         return self._count(now_s)
 
@@ -59,8 +59,8 @@
         voters = core.membership.voters
         granted = sum(1 for voter in voters if self._votes.get(voter, False))
         if core.role is Role.PRE_CANDIDATE and self._all_restarted():
-            # A leader and its lease end with its process: where every voter has restarted, none
-            # is left that a new one could take it from.
+            # A leader's lease ends with its process. If all voters have restarted, no lease is left
+            # that a new leader could violate.
             self._transfer = True
             return self._start_vote(now_s)
         if granted < core.membership.quorum:
@@ -75,7 +75,7 @@
         )
 
     def on_response(self, now_s: float, source: str, response: VoteResponse) -> bool:
-        """Count a vote; return True when the election is won."""
+        """Count a vote; return True if the election is won."""
         core = self._core
         if response.pre_vote:
             expected = core.role is Role.PRE_CANDIDATE and response.term == core.term + 1
@@ -89,17 +89,24 @@
         return self._count(now_s)
 
     def on_request(self, now_s: float, source: str, request: VoteRequest) -> None:
-        """Answer a vote request."""
+        """Respond to a vote request."""
         core = self._core
-        # A member that hears a live leader refuses, so that a lease cannot be cut short and a
-        # member that returns from behind a partition disturbs nobody.
-        heard_s = now_s - core.last_leader_contact_at_s
-        leader_is_live = heard_s < core.config.election_timeout_s
+        # A member with recent leader contact rejects the request. So no lease is violated, and a
+        # member that returns from a partition does not disrupt the leader.
+        since_contact_s = now_s - core.last_leader_contact_at_s
+        leader_is_live = since_contact_s < core.config.election_timeout_s
         if leader_is_live and not request.transfer:
-            anew = request.pre_vote and core.no_leader_since_start and self._could_win(request)
+            is_restart_only = (
+                request.pre_vote and core.no_leader_since_start and self._could_win(request)
+            )
             core.send(
                 source,
-                VoteResponse(self._response_term(request, anew), False, request.pre_vote, anew),
+                VoteResponse(
+                    self._response_term(request, is_restart_only),
+                    False,
+                    request.pre_vote,
+                    is_restart_only,
+                ),
             )
             return
         if request.term > core.term and not request.pre_vote:
@@ -112,18 +119,18 @@
             )
             return
         up_to_date = core.log.is_up_to_date(request.last_index, request.last_term)
-        free = core.hard_state.voted_for in (None, source)
-        granted = request.term == core.term and free and up_to_date
+        may_vote = core.hard_state.voted_for in (None, source)
+        granted = request.term == core.term and may_vote and up_to_date
         if granted:
             core.set_hard_state(HardState(core.term, source))
             core.reset_election_deadline(now_s)
         core.send(source, VoteResponse(core.term, granted, pre_vote=False), after_sync=True)
 
     def _could_win(self, request: VoteRequest) -> bool:
-        """Whether term and log of a candidate are no reason to refuse it."""
+        """Return whether term and log of a candidate allow a vote for it."""
         core = self._core
         up_to_date = core.log.is_up_to_date(request.last_index, request.last_term)
         return request.term > core.term and up_to_date
 
-    def _response_term(self, request: VoteRequest, is_favourable: bool) -> int:
-        return request.term if is_favourable else self._core.term
+    def _response_term(self, request: VoteRequest, is_eligible: bool) -> int:
+        return request.term if is_eligible else self._core.term
--- a/src/crowsill/consensus/follower.py
+++ b/src/crowsill/consensus/follower.py
@@ -1,4 +1,4 @@
-"""How a member follows: appends and snapshots from the leader."""
+"""The follower role: append requests and snapshots from the leader."""
 
 from crowsill.consensus.core import RaftCore, decode_membership
 from crowsill.consensus.invariants import require
@@ -12,16 +12,16 @@
 
 
 class Follower:
-    """Handles what a leader sends."""
+    """Handles messages from the leader."""
 
     def __init__(self, core: RaftCore) -> None:
         self._core = core
-        self._snapshot_parts = bytearray()
+        self._snapshot_data = bytearray()
         self._snapshot_index = 0
         self._snapshot_source = ""
 
     def on_append(self, now_s: float, source: str, request: AppendRequest) -> None:
-        """Append the leader's entries and answer."""
+        """Append the leader's entries and respond."""
         core = self._core
         if request.term < core.term:
             core.send(source, AppendResponse(core.term, False, 0, request.sent_at_s))
@@ -29,7 +29,7 @@
         self._accept_leader(now_s, source, request.term)
         previous = request.previous_index
         if previous < core.log.snapshot_index:
-            # All of this is committed here already.
+            # Entries up to the commit index are known to match the leader's log.
             self._respond(source, True, core.commit_index, request.sent_at_s)
             return
         if not core.log.matches(previous, request.previous_term):
@@ -53,7 +53,7 @@
         core.no_leader_since_start = False
 
     def _hint(self, previous: int) -> int:
-        """The last index before `previous` that may match: skip the conflicting term."""
+        """Return the last index before `previous` that may match, skipping the conflicting term."""
         log = self._core.log
         index = min(previous - 1, log.last_index)
         term = log.term_at(previous)
@@ -66,7 +66,7 @@
         self._core.send(source, response, after_sync=True)
 
     def on_snapshot_chunk(self, now_s: float, source: str, chunk: SnapshotChunk) -> None:
-        """Collect a snapshot and install it once whole."""
+        """Collect the chunks of a snapshot and install it when it is complete."""
         core = self._core
         if chunk.term < core.term:
             core.send(source, AppendResponse(core.term, False, 0, chunk.sent_at_s))
@@ -78,20 +78,20 @@
         if (source, chunk.index) != (self._snapshot_source, self._snapshot_index):
             self._snapshot_source = source
             self._snapshot_index = chunk.index
-            self._snapshot_parts = bytearray()
-        if chunk.offset == len(self._snapshot_parts):
-            self._snapshot_parts += chunk.data
+            self._snapshot_data = bytearray()
+        if chunk.offset == len(self._snapshot_data):
+            self._snapshot_data += chunk.data
             if chunk.last:
                 self._install(chunk)
                 self._respond(source, True, chunk.index, chunk.sent_at_s)
                 return
-        received = len(self._snapshot_parts)
+        received = len(self._snapshot_data)
         response = SnapshotChunkResponse(core.term, chunk.index, received, chunk.sent_at_s)
         core.send(source, response)
 
     def _install(self, chunk: SnapshotChunk) -> None:
         membership = decode_membership(chunk.membership)
-        data = bytes(self._snapshot_parts)
+        data = bytes(self._snapshot_data)
         self._core.install_snapshot(Snapshot(chunk.index, chunk.snapshot_term, membership, data))
-        self._snapshot_parts = bytearray()
+        self._snapshot_data = bytearray()
         self._snapshot_index = 0
--- a/src/crowsill/consensus/invariants.py
+++ b/src/crowsill/consensus/invariants.py
@@ -1,8 +1,8 @@
-"""Invariants of the running system, asserted in tests and in production alike."""
+"""Invariants of the running system, checked in tests and in production."""
 
 
 class InvariantError(AssertionError):
-    """An invariant does not hold: the process must stop rather than go on."""
+    """An invariant is violated; the process must stop."""
 
 
 def require(condition: bool, statement: str) -> None:
@@ -10,7 +10,7 @@
 
     Args:
         condition: The invariant.
-        statement: What should have been true.
+        statement: The invariant in words.
     """
     if not condition:
         raise InvariantError(statement)
--- a/src/crowsill/consensus/leader.py
+++ b/src/crowsill/consensus/leader.py
@@ -1,4 +1,4 @@
-"""How a member leads: replication, commitment, lease, membership and handing over."""
+"""The leader role: replication, commit, lease, membership changes and leadership transfer."""
 
 from collections.abc import Callable
 
@@ -21,12 +21,13 @@
 
 
 class Leader:
-    """The state of one term's leadership; a new object is made for each term led.
+    """The state of a leader in one term; each term has a new object.
 
     Attributes:
-        started_at_s: Clock when this leadership began.
-        first_index: First entry of this term; what earlier leaders acknowledged stands before it.
-        transfer_target: Member that leadership is being handed to, or None.
+        started_at_s: Time when the leadership began.
+        first_index: First entry of this term. All entries that earlier leaders acknowledged are
+            before it.
+        transfer_target: Member that leadership is being transferred to, or None.
     """
 
     def __init__(self, core: RaftCore, now_s: float, snapshot_provider: SnapshotProvider) -> None:
@@ -37,7 +38,7 @@
         self.first_index = core.log.last_index + 1
         self.transfer_target: str | None = None
         self._transfer_deadline_at_s = 0.0
-        self._follow_membership()
+        self._update_followers()
         self.propose(now_s, EntryKind.NO_OP, b"")
 
     @property
@@ -47,22 +48,22 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether an entry of this term is committed, so that all older ones are known."""
+        """Whether an entry of this term is committed, so that all older commits are known."""
         return self._core.commit_index >= self.first_index
 
     def propose(self, now_s: float, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of this term and start to replicate it; return its index."""
+        """Append an entry of this term and start its replication; return its index."""
         core = self._core
         entry = LogEntry(core.log.last_index + 1, core.term, kind, data)
         core.append_entry(entry)
         if kind is EntryKind.MEMBERSHIP:
-            self._follow_membership()
+            self._update_followers()
         for target in self._progress:
             self._send_entries(now_s, target)
         return entry.index
 
     def propose_membership(self, now_s: float, membership: Membership) -> int | None:
-        """Propose a membership; None while another is not committed or this term unsettled."""
+        """Propose a membership; None while another is uncommitted or no entry of the term is."""
         core = self._core
         pending = core.membership_index > core.commit_index
         if pending or not self.is_established:
@@ -72,7 +73,7 @@
         )
         return self.propose(now_s, EntryKind.MEMBERSHIP, encode_membership(membership))
 
-    def _follow_membership(self) -> None:
+    def _update_followers(self) -> None:
         ids = self._core.membership.ids
         for member_id in ids:
             if member_id != self._core.member_id and member_id not in self._progress:
@@ -82,31 +83,31 @@
                 del self._progress[member_id]
 
     def tick(self, now_s: float) -> None:
-        """Send heartbeats and repeat what was lost."""
+        """Send heartbeats and resend lost requests."""
         config = self._core.config
         for target, progress in self._progress.items():
-            silence_s = now_s - max(progress.last_response_at_s, self.started_at_s)
-            if silence_s > config.election_timeout_s and progress.in_flight:
+            since_response_s = now_s - max(progress.last_response_at_s, self.started_at_s)
+            if since_response_s > config.election_timeout_s and progress.in_flight:
                 progress.return_to_probing()
             last_sent_at_s = progress.last_sent_at_s
             if last_sent_at_s is None or now_s - last_sent_at_s >= config.heartbeat_s:
                 self._send(now_s, target, heartbeat=True)
 
     def announce_commit(self, now_s: float) -> None:
-        """Tell all members at once what is committed, in place of with the next heartbeat."""
+        """Send the commit index to all members at once instead of with the next heartbeat."""
         for target in self._progress:
             self._send(now_s, target, heartbeat=True)
 
     def transfer_failed(self, now_s: float) -> bool:
-        """Whether a hand-over passed its deadline, so that this member must step down.
+        """Return whether a transfer passed its deadline, so that this member must step down.
 
-        The order to campaign may still arrive late and override this leader's lease, so a
-        leader that has given it never answers from its lease again in this term.
+        A late `TimeoutNow` may still override this leader's lease. So a leader that has sent one
+        does not rely on its lease again in this term.
         """
         return self.transfer_target is not None and now_s > self._transfer_deadline_at_s
 
     def lease_expires_at_s(self) -> float:
-        """Clock until which no other member can have been elected."""
+        """Return the time until which no other member can be elected."""
         core = self._core
         times: list[float] = []
         for voter in core.membership.voters:
@@ -115,27 +116,27 @@
             else:
                 times.append(self._progress[voter].acknowledged_sent_at_s)
         times.sort(reverse=True)
-        confirmed_s = times[core.membership.quorum - 1]
-        return confirmed_s + core.config.lease_s
+        confirmed_at_s = times[core.membership.quorum - 1]
+        return confirmed_at_s + core.config.lease_s
 
     def has_lease(self, now_s: float) -> bool:
-        """Whether this member is provably the only leader right now."""
+        """Return whether this member is provably the only leader."""
         return self.transfer_target is None and now_s < self.lease_expires_at_s()
 
     def has_quorum_contact(self, now_s: float) -> bool:
-        """Whether a majority answered within an election timeout (check-quorum)."""
+        """Return whether a majority responded within an election timeout (check-quorum)."""
         core = self._core
-        horizon_s = now_s - core.config.election_timeout_s
-        if self.started_at_s > horizon_s:
+        horizon_at_s = now_s - core.config.election_timeout_s
+        if self.started_at_s > horizon_at_s:
             return True
-        heard = 0
+        responsive = 0
         for voter in core.membership.voters:
-            if voter == core.member_id or self._progress[voter].last_response_at_s > horizon_s:
-                heard += 1
-        return heard >= core.membership.quorum
+            if voter == core.member_id or self._progress[voter].last_response_at_s > horizon_at_s:
+                responsive += 1
+        return responsive >= core.membership.quorum
 
     def _send_entries(self, now_s: float, target: str) -> None:
-        """Send entries as long as the window is open."""
+        """Send entries while the window of unacknowledged requests allows it."""
         progress = self._progress[target]
         log = self._core.log
         limit = self._core.config.max_in_flight
@@ -214,7 +215,7 @@
             return
         if not response.accepted:
             if response.match_index < progress.match_index:
-                return  # A reordered, older refusal.
+                return  # An older rejection that arrives out of order.
             progress.reject(response.match_index)
             self._send_entries(now_s, source)
             return
@@ -248,7 +249,7 @@
             self._send_snapshot_chunk(now_s, source, progress)
 
     def advance_commit(self) -> None:
-        """Commit what a majority holds durably, if it is of this term (Raft 5.4.2)."""
+        """Commit entries that are durable on a majority, if they are of this term (Raft 5.4.2)."""
         core = self._core
         matches: list[int] = []
         for voter in core.membership.voters:
@@ -262,7 +263,7 @@
             core.commit_to(index)
 
     def transfer(self, now_s: float, target: str) -> bool:
-        """Start to hand over to a voter; return whether it was started."""
+        """Start a leadership transfer to a voter; return whether it started."""
         core = self._core
         if target == core.member_id or target not in core.membership.voters:
             return False
@@ -279,7 +280,7 @@
             core.send(source, TimeoutNow(core.term))
 
     def best_successor(self) -> str | None:
-        """The voter whose log is the longest, for a planned stop."""
+        """Return the other voter with the highest `match_index`, for a planned stop."""
         voters = self._core.membership.voters
         others = [voter for voter in voters if voter != self._core.member_id]
         if not others:
--- a/src/crowsill/consensus/log.py
+++ b/src/crowsill/consensus/log.py
@@ -1,4 +1,4 @@
-"""The in-memory part of the replicated log: everything after the last snapshot."""
+"""The in-memory part of the replicated log: all entries after the last snapshot."""
 
 from crowsill.consensus.invariants import require
 from crowsill.consensus.messages import LogEntry
@@ -8,7 +8,7 @@
     """Entries after `snapshot_index`, without gaps.
 
     Attributes:
-        snapshot_index: Last index covered by the snapshot; 0 without one.
+        snapshot_index: Last index that the snapshot covers; 0 without a snapshot.
         snapshot_term: Term of that entry.
     """
 
@@ -28,7 +28,7 @@
         return self._entries[-1].term if self._entries else self.snapshot_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None when it is compacted away or not there yet."""
+        """Return the term of an entry, or None if it is compacted or does not exist yet."""
         if index == self.snapshot_index:
             return self.snapshot_term
         offset = index - self.snapshot_index - 1
@@ -39,7 +39,7 @@
     def append(self, entry: LogEntry) -> None:
         """Add the next entry."""
         require(entry.index == self.last_index + 1, "the log has no gaps")
-        require(entry.term >= self.last_term, "terms in the log never fall")
+        require(entry.term >= self.last_term, "terms in the log never decrease")
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
@@ -53,7 +53,7 @@
         Args:
             first: First index; must be after the snapshot.
             last: Last index.
-            max_bytes: Stop before the data passes this size, but return at least one entry.
+            max_bytes: Maximum total size of the data; at least one entry is returned.
         """
         start = first - self.snapshot_index - 1
         require(start >= 0, "compacted entries are not read")
@@ -68,7 +68,7 @@
         return chosen
 
     def compact(self, index: int) -> None:
-        """Drop entries up to `index`, which a snapshot now covers."""
+        """Drop entries up to `index`, which a snapshot covers."""
         term = self.term_at(index)
         if term is None or index <= self.snapshot_index:
             return
@@ -77,15 +77,15 @@
         self.snapshot_term = term
 
     def restart_at(self, index: int, term: int) -> None:
-        """Forget everything and continue after an installed snapshot."""
+        """Drop all entries and continue after an installed snapshot."""
         self._entries.clear()
         self.snapshot_index = index
         self.snapshot_term = term
 
     def matches(self, index: int, term: int) -> bool:
-        """Whether the entry at `index` has `term`."""
+        """Return whether the entry at `index` has `term`."""
         return self.term_at(index) == term
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends so is at least as up to date as this one."""
+        """Return whether a log with this last entry is at least as up to date as this log."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
--- a/src/crowsill/consensus/membership.py
+++ b/src/crowsill/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Who belongs to a consensus group."""
+"""The members of a consensus group."""
 
 import msgspec
 
@@ -7,12 +7,12 @@
     """One member.
 
     Attributes:
-        member_id: Identity bound to the member's disk.
+        member_id: Identity, which is bound to the member's disk.
         name: The operator's name for the machine.
-        host: IP number for the other members.
-        port: Port for the other members.
+        host: IP address for connections from the other members.
+        port: Port for connections from the other members.
         voter: False for a learner, which receives the log and has no vote.
-        replaces: Id of the voter whose place a learner takes once it has caught up.
+        replaces: Id of the voter that a learner replaces after it has caught up.
     """
 
     member_id: str
@@ -24,7 +24,7 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """All members at one point of the log."""
+    """All members at one index of the log."""
 
     members: list[Member] = []
 
@@ -40,7 +40,7 @@
 
     @property
     def quorum(self) -> int:
-        """Number of voters that decide.
+        """Number of voters that form a majority.
 
         >>> Membership([Member("a", "a", "127.0.0.1", 1), Member("b", "b", "127.0.0.1", 2)]).quorum
         2
@@ -61,5 +61,5 @@
         return Membership([item for item in self.members if item.member_id != member_id])
 
     def differs_by_one_voter(self, other: "Membership") -> bool:
-        """Whether at most one voter was added or removed, so that all majorities overlap."""
+        """Return whether at most one voter is added or removed, so that all majorities overlap."""
         return len(set(self.voters) ^ set(other.voters)) <= 1
--- a/src/crowsill/consensus/messages.py
+++ b/src/crowsill/consensus/messages.py
@@ -11,7 +11,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries."""
+    """Kind of a log entry."""
 
     COMMAND = 0
     NO_OP = 1
@@ -22,10 +22,10 @@
     """One entry of the replicated log.
 
     Attributes:
-        index: Position, from 1.
+        index: Position in the log, from 1.
         term: Term of the leader that created it.
-        kind: What `data` is.
-        data: An encoded command or membership; empty for a no-op.
+        kind: Kind of `data`.
+        data: Encoded batch of commands or membership; empty for a no-op.
     """
 
     index: int
@@ -35,14 +35,15 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """A candidate asks for a vote.
+    """A candidate requests a vote.
 
     Attributes:
-        term: The term it would lead.
-        last_index: Index of its last entry.
-        last_term: Term of its last entry.
-        pre_vote: True while it only asks whether it could win.
-        transfer: True when the leader told it to campaign, which overrides a live lease.
+        term: The term in which the candidate would lead.
+        last_index: Index of the candidate's last entry.
+        last_term: Term of the candidate's last entry.
+        pre_vote: Whether this is a pre-vote, which changes no term and no vote.
+        transfer: Whether the election may override a lease: the leader requested it by
+            `TimeoutNow`, or all voters have restarted.
     """
 
     term: int
@@ -53,14 +54,16 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote-response"):
-    """The answer to a vote request; `term` is the requested term when granted.
+    """The response to a vote request.
 
     Attributes:
-        term: The requested term when granted, else the voter's.
-        granted: Whether the vote was given.
-        pre_vote: Whether only the chance to win was asked for.
-        no_leader_since_start: The voter refused only because it restarted a moment ago, and may
-            have answered a leader's heartbeat just before.
+        term: The requested term if the vote is granted or `no_leader_since_start` is set, otherwise
+            the voter's term.
+        granted: Whether the vote is granted.
+        pre_vote: Whether the request was a pre-vote.
+        no_leader_since_start: The voter has had no leader contact since it started, and term and
+            log of the candidate are sufficient. If such a voter rejects a pre-vote, the only reason
+            is that it may have acknowledged a leader's heartbeat just before its restart.
     """
 
     term: int
@@ -70,15 +73,16 @@
 
 
 class AppendRequest(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """Entries, or a heartbeat when `entries` is empty.
+    """Entries to append; a heartbeat if `entries` is empty.
 
     Attributes:
         term: The leader's term.
-        previous_index: Index just before `entries`.
+        previous_index: Index of the entry before `entries`.
         previous_term: Term of that entry.
         entries: Entries in order, without gaps.
         commit_index: The leader's commit index.
-        sent_at_s: The leader's clock at sending; echoed, it renews the lease.
+        sent_at_s: The leader's clock at the time of sending; the response that echoes it renews the
+            lease.
     """
 
     term: int
@@ -90,13 +94,13 @@
 
 
 class AppendResponse(msgspec.Struct, frozen=True, array_like=True, tag="append-response"):
-    """The answer to an append request or a snapshot chunk.
+    """The response to an append request, and to a snapshot chunk that needs no further chunk.
 
     Attributes:
         term: The follower's term.
         accepted: Whether the previous entry matched.
-        match_index: When accepted, the last index known equal to the leader's; otherwise a hint
-            for the next try.
+        match_index: If accepted, the last index up to which the log matches the leader's;
+            otherwise a hint for the next request.
         sent_at_s: Copied from the request.
     """
 
@@ -107,17 +111,17 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="snapshot"):
-    """A part of a snapshot for a follower whose next entry is compacted away.
+    """A part of a snapshot for a follower whose next entry is compacted.
 
     Attributes:
         term: The leader's term.
-        index: Last index the snapshot covers.
+        index: Last index that the snapshot covers.
         snapshot_term: Term of that entry.
         membership: Encoded membership at that index.
         offset: Position of `data` in the snapshot, in bytes.
-        data: The part.
-        last: Whether this is the final part.
-        sent_at_s: The leader's clock at sending.
+        data: The bytes of this chunk.
+        last: Whether this is the last chunk.
+        sent_at_s: The leader's clock at the time of sending.
     """
 
     term: int
@@ -131,12 +135,12 @@
 
 
 class SnapshotChunkResponse(msgspec.Struct, frozen=True, array_like=True, tag="snapshot-response"):
-    """How far a follower has received a snapshot.
+    """The progress of a follower that receives a snapshot.
 
     Attributes:
         term: The follower's term.
         index: The snapshot's index.
-        next_offset: First byte it lacks.
+        next_offset: First byte that the follower has not received.
         sent_at_s: Copied from the chunk.
     """
 
@@ -147,7 +151,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="timeout-now"):
-    """The leader hands over: the receiver campaigns at once."""
+    """The leader transfers leadership: the receiver campaigns at once."""
 
     term: int
 
@@ -169,8 +173,8 @@
     Attributes:
         group: Consensus group; one process may host several.
         source: Member id of the sender.
-        target: Member id of the receiver. An id is bound to a disk, so a member that lost its
-            disk never receives what was meant for its former self.
+        target: Member id of the receiver. An id is bound to a disk, so a member that lost its disk
+            never receives messages for its former identity.
         message: The message.
     """
 
--- a/src/crowsill/consensus/node.py
+++ b/src/crowsill/consensus/node.py
@@ -1,7 +1,7 @@
 """The consensus core of one member: a pure state machine behind a small interface.
 
-The driver calls `tick`, `step`, `propose` and `mark_synced`, and after each call carries out what
-`take_ready` returns. Time comes in as seconds of the member's monotonic clock.
+The driver calls `tick`, `step`, `propose` and `mark_synced`, and after each call executes the
+effects that `take_ready` returns. All times are seconds of the member's monotonic clock.
 """
 
 from crowsill.consensus.core import RaftCore
@@ -31,8 +31,8 @@
         """Restore a member.
 
         Args:
-            setup: What it starts from.
-            snapshot_provider: Returns a snapshot of the applied state when a follower needs it.
+            setup: Initial state and settings.
+            snapshot_provider: Returns a snapshot of the applied state for a follower.
         """
         self._core = RaftCore(setup)
         self._election = Election(self._core)
@@ -62,7 +62,7 @@
 
     @property
     def last_leader_contact_at_s(self) -> float:
-        """Clock when a current leader was last heard."""
+        """Time of the last message from a current leader."""
         return self._core.last_leader_contact_at_s
 
     @property
@@ -72,7 +72,7 @@
 
     @property
     def synced_index(self) -> int:
-        """Last entry of the own log that is known to be durable."""
+        """Last entry of this member's log that is known to be durable."""
         return self._core.synced_index
 
     @property
@@ -87,26 +87,26 @@
 
     @property
     def membership_is_committed(self) -> bool:
-        """Whether the newest membership in the log is committed, and not merely proposed."""
+        """Whether the newest membership in the log is committed, not only proposed."""
         return self._core.membership_index <= self._core.commit_index
 
     @property
     def leader(self) -> Leader | None:
-        """The leadership state, while this member leads."""
+        """The leader state, or None while this member does not lead."""
         return self._leader
 
     @property
     def is_established_leader(self) -> bool:
-        """Whether this member leads and knows everything that was ever committed."""
+        """Whether this member leads and knows all committed entries of earlier terms."""
         return self._leader is not None and self._leader.is_established
 
     def has_lease(self, now_s: float) -> bool:
-        """Whether this member leads, is settled and provably the only leader right now."""
+        """Return whether this member is an established leader and provably the only one."""
         leader = self._leader
         return leader is not None and leader.is_established and leader.has_lease(now_s)
 
     def tick(self, now_s: float) -> None:
-        """Let time pass; call at a small fraction of the heartbeat interval."""
+        """Process timeouts; call this at a small fraction of the heartbeat interval."""
         core = self._core
         if self._leader is not None:
             self._leader.tick(now_s)
@@ -130,7 +130,7 @@
         self._leader = Leader(core, now_s, self._snapshot_provider)
 
     def step(self, now_s: float, envelope: Envelope) -> None:
-        """Take in a message. One not meant for this identity is ignored."""
+        """Process a message. A message for another identity or group is ignored."""
         core = self._core
         if envelope.target != core.member_id or envelope.group != core.group:
             return
@@ -165,7 +165,7 @@
             leader.on_snapshot_response(now_s, source, message)
 
     def _step_down_if_removed(self, now_s: float) -> None:
-        """A leader that is no voter any more leads until that change is committed."""
+        """Step down if the committed membership no longer has this leader as a voter."""
         core = self._core
         committed = core.membership_index <= core.commit_index
         if self._leader is not None and committed and not core.is_voter:
@@ -182,8 +182,8 @@
 
     def _on_vote_response(self, now_s: float, source: str, response: VoteResponse) -> None:
         core = self._core
-        favourable = response.pre_vote and (response.granted or response.no_leader_since_start)
-        if response.term > core.term and not favourable:
+        is_eligible = response.pre_vote and (response.granted or response.no_leader_since_start)
+        if response.term > core.term and not is_eligible:
             self._step_down(response.term, None, now_s)
             return
         self._become_leader_if_won(self._election.on_response(now_s, source, response), now_s)
@@ -194,20 +194,20 @@
             self._become_leader_if_won(self._election.campaign(now_s, transfer=True), now_s)
 
     def propose(self, now_s: float, data: bytes) -> int | None:
-        """Propose a command; return its index, or None when this member cannot lead it."""
+        """Propose a command; return its index, or None if this member cannot propose now."""
         leader = self._leader
         if leader is None or leader.transfer_target is not None:
             return None
         return leader.propose(now_s, EntryKind.COMMAND, data)
 
     def propose_membership(self, now_s: float, membership: Membership) -> int | None:
-        """Propose a membership that differs by one voter; None when it cannot be now."""
+        """Propose a membership that differs by one voter; None if that is not possible now."""
         if self._leader is None:
             return None
         return self._leader.propose_membership(now_s, membership)
 
     def transfer_leadership(self, now_s: float) -> bool:
-        """Hand over to the most advanced voter; return whether it was started."""
+        """Transfer leadership to the most up-to-date voter; return whether the transfer started."""
         leader = self._leader
         if leader is None:
             return False
@@ -215,7 +215,7 @@
         return target is not None and leader.transfer(now_s, target)
 
     def mark_synced(self, index: int, term: int) -> None:
-        """Learn that the own log is durable up to the entry `index` of `term`."""
+        """Record that this member's log is durable up to the entry `index` of `term`."""
         core = self._core
         if core.log.term_at(index) != term or index <= core.synced_index:
             return
@@ -224,12 +224,12 @@
             self._leader.advance_commit()
 
     def announce_commit(self, now_s: float) -> None:
-        """Tell all members at once what is committed, if this member leads."""
+        """Send the commit index to all members at once, if this member leads."""
         if self._leader is not None:
             self._leader.announce_commit(now_s)
 
     def compact(self, index: int) -> None:
-        """Forget entries up to `index` after a local snapshot."""
+        """Drop entries up to `index` after a local snapshot."""
         self._core.compact(index)
 
     def take_ready(self) -> Ready:
--- a/src/crowsill/consensus/progress.py
+++ b/src/crowsill/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower."""
+"""A leader's replication state for one follower."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class ReplicationMode(StrEnum):
-    """How a leader feeds a follower."""
+    """How a leader replicates to a follower."""
 
     PROBE = "probe"
     PIPELINE = "pipeline"
@@ -20,14 +20,15 @@
 
     Attributes:
         next_index: Next entry to send.
-        match_index: Last entry known to be durable there.
-        mode: Probe one request at a time until the logs match, then pipeline.
-        in_flight: Requests sent and not yet answered.
-        last_sent_at_s: Clock of the last request; None before the first.
-        acknowledged_sent_at_s: Sending time of the newest request it has answered.
-        last_response_at_s: Clock of its last answer.
-        snapshot: The snapshot being sent.
-        snapshot_offset: First byte of it that is not yet acknowledged.
+        match_index: Last entry that is known to be durable on the follower.
+        mode: Replication mode. `PROBE` sends one request at a time until the logs match, then
+            `PIPELINE` sends several.
+        in_flight: Number of requests without a response.
+        last_sent_at_s: Time of the last request; None before the first.
+        acknowledged_sent_at_s: Sending time of the latest request with a response.
+        last_response_at_s: Time of the last response.
+        snapshot: The snapshot that is being sent.
+        snapshot_offset: First byte of the snapshot that is not acknowledged.
     """
 
     next_index: int
@@ -41,7 +42,7 @@
     snapshot_offset: int = 0
 
     def accept(self, match_index: int) -> bool:
-        """Record an accepted append; return whether the match advanced."""
+        """Record an accepted append request; return whether `match_index` advanced."""
         self.in_flight = max(0, self.in_flight - 1)
         if self.mode is ReplicationMode.PROBE:
             self.mode = ReplicationMode.PIPELINE
@@ -53,13 +54,13 @@
         return True
 
     def reject(self, hint: int) -> None:
-        """Record a refused append: go back to probing after the follower's hint."""
+        """Record a rejected append request: return to probing after the follower's hint."""
         self.mode = ReplicationMode.PROBE
         self.in_flight = 0
         self.next_index = max(self.match_index + 1, min(self.next_index - 1, hint + 1))
 
     def return_to_probing(self) -> None:
-        """Forget what is in flight after silence; lost requests are sent again."""
+        """Discard requests in flight after a time without responses, so that they are resent."""
         if self.mode is ReplicationMode.SNAPSHOT:
             return
         self.mode = ReplicationMode.PROBE
--- a/src/crowsill/consensus/replacement.py
+++ b/src/crowsill/consensus/replacement.py
@@ -1,8 +1,8 @@
-"""The steps of replacing a member, decided from the leader's view alone.
+"""Replacement of members, decided from the leader's replication state alone.
 
-A new machine joins as a learner. Only when it durably holds everything committed does it take the
-place of the voter it replaces: that voter leaves first, then the learner is given the vote. Each
-step is one membership change, and the next waits until the last is committed.
+A new machine joins as a learner. When all committed entries are durable on it, the voter that it
+replaces is removed, and then the learner becomes a voter. Each step is one membership change, and
+the next step waits until the previous one is committed.
 """
 
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupHealth:
-    """How a leader sees its group.
+    """The state of a group as its leader knows it.
 
     Attributes:
-        behind: Committed entries each other member has not durably got, by id.
-        silent_s: Time since each other member's last answer, or since this leadership began if
-            that is shorter, by id.
-        membership_committed: Whether the newest membership is committed. One that is merely
-            proposed may still vanish with its leader, and the older one counts then.
+        behind: Number of committed entries that are not durable on each other member, by id.
+        silent_s: Time since the last response of each other member, by id; at most the time since
+            this leadership began.
+        membership_committed: Whether the newest membership is committed. An uncommitted membership
+            may be lost with its leader, and then the older one remains in effect.
     """
 
     behind: dict[str, int]
@@ -31,7 +31,7 @@
 
 
 def group_health(node: RaftNode, now_s: float) -> GroupHealth:
-    """Summarise what a leading member knows; empty for one that does not lead."""
+    """Return the state of the group as a leader knows it; empty if the member does not lead."""
     leader = node.leader
     progress = {} if leader is None else leader.progress
     started_at_s = float("-inf") if leader is None else leader.started_at_s
@@ -48,12 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SelfRepair:
-    """How a group keeps its size by itself.
+    """Settings of a group that restores its size automatically.
 
     Attributes:
-        target_voters: Voters wanted.
-        dead_after_s: A voter silent for so long gives its place to a learner that is ready.
-        forget_after_s: A learner silent for so long is forgotten.
+        target_voters: Target number of voters.
+        dead_after_s: Time without a response after which a learner that has caught up replaces a
+            voter.
+        forget_after_s: Time without a response after which a learner is removed.
     """
 
     target_voters: int
@@ -67,14 +68,14 @@
     alive_within_s: float,
     repair: SelfRepair | None = None,
 ) -> Membership | None:
-    """Return the next membership on the way to the wanted one, or None when there is none now.
+    """Return the next membership towards the target, or None if no step is possible now.
 
     Args:
         membership: The newest membership.
-        health: The leader's view.
-        alive_within_s: A member that answered within this time counts as there.
-        repair: Set for a group that keeps its size by itself. Without it every learner that is
-            ready is promoted, as an operator who added it wants.
+        health: State of the group as the leader knows it.
+        alive_within_s: A member that responded within this time counts as available.
+        repair: Set for a group that restores its size automatically. Without it every learner
+            that has caught up is promoted, because an operator added it.
     """
     if not health.membership_committed:
         return None
@@ -98,7 +99,8 @@
         for member in membership.members
         if not member.voter and _has_caught_up(member, health, alive_within_s)
     ]
-    # First of all the machine that came back with an empty disk: its former self is gone for good.
+    # A machine that returned with an empty disk goes first: its former identity is permanently
+    # gone.
     for member in ready:
         if member.replaces in membership.voters:
             return membership.without_member(member.replaces)
@@ -130,7 +132,7 @@
 def is_fully_replicated(
     membership: Membership, leader_id: str, health: GroupHealth, alive_within_s: float
 ) -> bool:
-    """Whether all members vote, are there, and durably hold everything committed."""
+    """Return whether all members vote, are available, and have all committed entries durably."""
     if not health.membership_committed:
         return False
     for member in membership.members:
@@ -144,22 +146,22 @@
 def describe_risk(
     membership: Membership, leader_id: str, health: GroupHealth, alive_within_s: float
 ) -> str:
-    """Say what the loss of further voters would mean.
+    """Describe the effect of losing further voters.
 
     Returns:
         One sentence for operators.
     """
     if not health.membership_committed:
-        return "a change of the members is under way: until it is committed, lose nothing"
-    sound = [
+        return "a membership change is not committed yet; until then no member may be lost"
+    healthy = [
         voter
         for voter in membership.voters
         if voter == leader_id
         or (health.behind.get(voter, 1) == 0 and health.silent_s.get(voter, 1e9) <= alive_within_s)
     ]
-    spare = len(sound) - membership.quorum
+    spare = len(healthy) - membership.quorum
     if spare < 0:
-        return "fewer voters than a majority are sound: nothing new can be committed"
+        return "fewer voters than a majority are healthy: no new entries can be committed"
     if spare == 0:
-        return "the loss of one more sound voter stops commits, and of its disk may lose data"
-    return f"{spare} more voter(s) may be lost without any harm"
+        return "losing one more healthy voter stops commits, and losing its disk may lose data"
+    return f"{spare} more voter(s) can be lost without a loss of service or data"
--- a/src/crowsill/consensus/types.py
+++ b/src/crowsill/consensus/types.py
@@ -1,4 +1,4 @@
-"""Values that go into and come out of the consensus core."""
+"""Input and output types of the consensus core."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class Role(StrEnum):
-    """What a member currently is."""
+    """Role of a member."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -21,7 +21,7 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What must be synced before any message that depends on it is sent."""
+    """State that must be durable before any message that depends on it is sent."""
 
     term: int = 0
     voted_for: str | None = None
@@ -32,16 +32,16 @@
     """Timing and size limits of a group.
 
     Attributes:
-        election_timeout_s: Shortest time without a leader before a member campaigns; also how
-            long a member that hears its leader refuses votes.
+        election_timeout_s: Minimum time without leader contact before a member campaigns; also the
+            time after leader contact during which a member rejects vote requests.
         initial_election_timeout_s: Shortest time between campaigns of a member that has heard no
             leader since it started.
-        heartbeat_s: Longest time between two appends of a leader to one follower.
-        clock_drift: Largest relative difference of two members' clock rates; the lease is
-            shortened by it.
-        max_append_bytes: Data in one append request.
-        max_in_flight: Append requests sent to a follower ahead of its answers.
-        snapshot_chunk_bytes: Data in one snapshot chunk.
+        heartbeat_s: Maximum time between two append requests of a leader to one follower.
+        clock_drift: Maximum relative difference between the clock rates of two members; shortens
+            the lease.
+        max_append_bytes: Maximum size of the data in one append request.
+        max_in_flight: Maximum number of unacknowledged append requests to one follower.
+        snapshot_chunk_bytes: Maximum size of the data in one snapshot chunk.
     """
 
     election_timeout_s: float = 0.5
@@ -54,23 +54,23 @@
 
     @property
     def lease_s(self) -> float:
-        """How long an acknowledged heartbeat proves leadership, counted from its sending."""
+        """Time for which an acknowledged heartbeat proves leadership, counted from its sending."""
         return self.election_timeout_s * (1.0 - self.clock_drift)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSetup:
-    """What a member starts from.
+    """Initial state and settings of a member.
 
     Attributes:
-        member_id: Identity bound to the disk.
+        member_id: Identity, which is bound to the disk.
         group: Name of the consensus group.
-        hard_state: Synced term and vote.
-        log: Synced log.
-        membership: Membership at the log's snapshot.
+        hard_state: Durable term and vote.
+        log: Durable log.
+        membership: Membership at the snapshot of the log.
         config: Timing and size limits.
         random: Source of election timeouts.
-        now_s: The clock.
+        now_s: Current monotonic time.
     """
 
     member_id: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A state that stands for all entries up to `index`."""
+    """State that replaces all entries up to `index`."""
 
     index: int
     term: int
@@ -95,16 +95,16 @@
 
 @dataclass(slots=True)
 class Ready:
-    """Effects for the driver, to be carried out in this order.
+    """Effects that the driver executes in this order.
 
     Attributes:
-        messages: Send at once.
-        hard_state: Sync, if set.
-        snapshot: Sync and restore the state machine from it, if set.
-        truncate_from: Remove durable entries from this index on, if set.
-        entries: Append and sync.
-        messages_after_sync: Send once the above is synced.
-        committed: Apply in order.
+        messages: Messages to send at once.
+        hard_state: Term and vote to sync, if set.
+        snapshot: Snapshot to sync and to restore the state machine from, if set.
+        truncate_from: Index from which durable entries are removed, if set.
+        entries: Entries to append and sync.
+        messages_after_sync: Messages to send after the sync of the above.
+        committed: Entries to apply in order.
     """
 
     messages: list[Envelope] = field(default_factory=list)
@@ -117,7 +117,7 @@
 
     @property
     def needs_sync(self) -> bool:
-        """Whether anything must be made durable."""
+        """Whether any effect must be made durable."""
         return bool(
             self.hard_state is not None
             or self.snapshot is not None
@@ -127,5 +127,5 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether there are no effects."""
         return not (self.needs_sync or self.messages or self.messages_after_sync or self.committed)
--- a/src/crowsill/state/claims.py
+++ b/src/crowsill/state/claims.py
@@ -125,7 +125,7 @@
             return True
         if claim.state is ClaimState.UNKNOWN:
             return False
-        require(claim.state in (ClaimState.OPEN, ClaimState.RELEASED), "a claim ends once")
+        require(claim.state in (ClaimState.OPEN, ClaimState.RELEASED), "a claim is settled once")
         not_run = command.settlement is ClaimSettlement.NOT_RUN
         # A released claim is kept, so that a late duplicate of the same attempt is not granted.
         claim.state = ClaimState.RELEASED if not_run else ClaimState.UNKNOWN
