--- a/tests/test_forwarded.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What of a caller's headers reaches a replica."""
+"""Which headers of a caller reach a replica."""
 
 import sys
 
@@ -33,14 +33,14 @@
 
 
 @pytest.mark.parametrize("name", sorted(RESERVED_NAMES))
-def test_a_caller_cannot_set_what_only_the_gateway_may(name):
+def test_a_caller_cannot_set_headers_reserved_for_the_gateway(name):
     headers = [(odd_case(name), b"stolen"), (b"X-Mine", b"a"), (name, b"again")]
     reached = forwarded(headers)
     assert (b"x-mine", b"a") in reached
     assert name not in [reached_name for reached_name, _ in reached]
 
 
-def test_what_the_gateway_sets_itself_stands_once():
+def test_headers_set_by_the_gateway_occur_once():
     own = [HEADER_NAMES.deadline, HEADER_NAMES.expect_instance, HEADER_NAMES.priority]
     reached = forwarded([(odd_case(name), b"999999") for name in own for _ in range(2)])
     for name in own:
@@ -48,14 +48,14 @@
         assert len(values) == 1 and values[0] != b"999999"
 
 
-def test_headers_named_by_the_connection_stay_with_it():
+def test_headers_named_by_connection_are_not_forwarded():
     named = [(b"Connection", b"close, X-Crowsill-Hold, x-hop"), (b"X-Hop", b"1")]
     reached = forwarded([*named, (b"X-Crowsill-Hold", b"h1"), (b"X-Crowsill-Model", b"m")])
     assert (b"x-crowsill-model", b"m") in reached
     assert not {b"connection", b"x-hop", b"x-crowsill-hold"} & {name for name, _ in reached}
 
 
-def test_a_deployment_without_reserved_names_passes_all_on():
+def test_a_deployment_without_reserved_names_forwards_all_headers():
     assert (b"x-hold", b"h") in forwarded([(b"X-Hold", b"h")], HeaderNames())
 
 
@@ -68,7 +68,7 @@
 ]
 
 
-def test_neither_the_key_nor_a_tenant_that_a_caller_names_reaches_a_replica():
+def test_neither_the_api_key_nor_a_tenant_header_of_a_caller_reaches_a_replica():
     reached = forwarded(STOLEN, terms=KEYED)
     assert [pair for pair in reached if pair[0] == HEADER_NAMES.tenant] == [
         (HEADER_NAMES.tenant, b"depots")
@@ -76,16 +76,16 @@
     assert all(b"secret" not in value for _, value in reached)
 
 
-def test_a_caller_without_a_key_counts_to_no_tenant():
+def test_a_request_without_an_api_key_is_charged_to_no_tenant():
     terms = ForwardingTerms("i-1", rank=5, remaining_s=2.0, is_keyed=True)
     names = [name for name, _ in forwarded(STOLEN, terms=terms)]
     assert HEADER_NAMES.tenant not in names and b"authorization" not in names
 
 
-def test_the_tenant_stands_also_where_the_connection_names_its_header():
+def test_the_tenant_header_is_sent_even_if_connection_names_it():
     headers = [(b"Connection", b"x-crowsill-tenant, authorization"), *STOLEN]
     assert (HEADER_NAMES.tenant, b"depots") in forwarded(headers, terms=KEYED)
 
 
-def test_without_tenants_all_is_passed_on_as_it_came():
+def test_without_tenants_all_headers_are_forwarded_unchanged():
     assert (b"authorization", b"Bearer secret") in forwarded(STOLEN)
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -1,4 +1,4 @@
-"""A gateway while replicas, models and its own process come and go."""
+"""A gateway while replicas, models and its own process start and stop."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
     run(scenario())
 
 
-def test_a_replica_that_is_gone_is_left_out_and_its_model_counts_as_missing():
+def test_a_stopped_replica_is_excluded_and_its_model_counts_as_missing():
     async def scenario():
         async with world(good) as here:
             await here._replicas[0].stop()
@@ -45,21 +45,21 @@
             assert status == 503 and "retry-after" in headers
             model = ["crowsill-model: m", LATER]
             await caller.ask("engine", "r2", headers=model)
-            started_s = loop.time()
+            started_at_s = loop.time()
             status, _, body = await caller.ask("engine", "r3", headers=model)
-            # It is held for a copy elsewhere, not refused as if the dead one were full.
+            # It waits for another model copy; it is not rejected as if the dead replica were full.
             assert status == 503 and b'"no_replica"' in body
-            assert loop.time() - started_s > 0.2
+            assert loop.time() - started_at_s > 0.2
             assert here.role.registry.find("i-1e").availability.is_unreachable
 
     run(scenario())
 
 
-def test_a_request_for_a_model_held_nowhere_waits_until_it_is_there():
+def test_a_request_for_a_model_without_copies_waits_until_it_is_loaded():
     async def scenario():
         async with world(good, models=()) as here:
             caller = await here.caller()
-            # A copy in the machine's memory is there soon; one from the store would be too late.
+            # A load from the machine's memory is fast enough; one from the store is too slow.
             here.adopt([instance(here._replicas[0], 1, in_memory=["m"])])
             caller.send("engine", headers=["crowsill-model: m", LATER])
             await asyncio.sleep(0.2)
@@ -71,43 +71,43 @@
     run(scenario())
 
 
-def test_a_request_that_cannot_be_served_is_told_at_once_when_to_come_back():
-    # Found on every day of the second site: requests for a model that took 2 s to load were held
-    # until they were late. Now it is the wait in vain that counts, on a first try and a later one
-    # alike: with 10 s from the store and 3 s left, neither is kept for a moment.
+def test_a_request_that_cannot_be_served_is_rejected_at_once_with_retry_after():
+    # Waiting requests for a model that took 2 s to load missed their target. A first attempt and a
+    # later one are rejected at once if the load can't finish in time: here the store takes 10 s and
+    # the request has 3 s left.
     async def scenario():
         async with world(good, models=()) as here:
             loop = asyncio.get_running_loop()
             caller = await here.caller()
             for more in ([], [LATER]):
-                started_s = loop.time()
+                started_at_s = loop.time()
                 headers = ["crowsill-model: m", *more]
                 status, headers, _ = await caller.ask("engine", headers=headers)
-                assert status == 503 and loop.time() - started_s < 0.3
+                assert status == 503 and loop.time() - started_at_s < 0.3
                 assert 9.0 < float(headers["retry-after"]) < 12.0, "the store takes 10 s"
 
     run(scenario())
 
 
-def test_a_request_waits_for_a_load_that_is_under_way_and_will_be_in_time():
+def test_a_request_waits_for_a_running_load_that_finishes_in_time():
     async def scenario():
         async with world(good, models=()) as here:
             loop = asyncio.get_running_loop()
             caller = await here.caller()
-            on_its_way = instance(here._replicas[0], 1, loading=[LoadingModel("m", 1.2)])
-            here.adopt([on_its_way])
-            started_s = loop.time()
+            loading = instance(here._replicas[0], 1, loading=[LoadingModel("m", 1.2)])
+            here.adopt([loading])
+            started_at_s = loop.time()
             caller.send("engine", headers=["crowsill-model: m"])
             await asyncio.sleep(1.0)
             here._models = ("m",)
             here.adopt([instance(here._replicas[0], 1, models=[LoadedModel("m")])])
             assert (await caller.head())[0] == 200
-            assert loop.time() - started_s >= 1.0
+            assert loop.time() - started_at_s >= 1.0
 
     run(scenario())
 
 
-def test_a_stop_gives_held_requests_back_at_once_and_finishes_what_runs():
+def test_a_shutdown_rejects_waiting_requests_at_once_and_finishes_running_ones():
     async def slow(headers, writer, _number):
         await asyncio.sleep(0.8)
         writer.write(answer(headers[ID]))
@@ -115,17 +115,17 @@
 
     async def scenario():
         async with world(slow, models=()) as here:
-            held, running = await here.caller(), await here.caller()
+            waiting, running = await here.caller(), await here.caller()
             here.adopt([instance(here._replicas[0], 1, in_memory=["m"])])
-            held.send("engine", headers=["crowsill-model: m", LATER])
+            waiting.send("engine", headers=["crowsill-model: m", LATER])
             running.send("once")
             await asyncio.sleep(0.1)
             assert here.role.is_ready()
             stopping = asyncio.create_task(here.role.drain())
             await asyncio.sleep(0)
             assert not here.role.is_ready()
-            # Found by a hunt: it was held up to 8 s and then cut without an answer.
-            status, headers = await held.head(within_s=0.7)
+            # It must not wait up to 8 s and then be cut off without a response.
+            status, headers = await waiting.head(within_s=0.7)
             assert status == 503 and "retry-after" in headers
             status, headers = await running.head()
             assert status == 200 and headers["connection"] == "close"
@@ -134,9 +134,9 @@
     run(scenario())
 
 
-def test_a_stream_that_would_outlast_a_stopping_process_is_sent_on_at_once():
-    # Found as a rule broken on trouble-2 of the third site: a stream of some seconds, begun while
-    # the balancer had not noticed the stop yet, was cut when the process ended.
+def test_a_stream_expected_to_outlast_a_stopping_process_is_rejected_at_once():
+    # A stream of some seconds that started before the load balancer noticed the shutdown was cut
+    # off when the process stopped.
     async def scenario():
         async with world(good) as here:
             long, short = await here.caller(), await here.caller()
@@ -156,11 +156,12 @@
     run(scenario())
 
 
-def test_a_stream_whose_time_ends_after_a_stopping_process_is_sent_on_at_once():
-    """A stream begun 0.7 s after the order to stop was cut at the end of the stop, 6.9 s later.
+def test_a_stream_whose_deadline_is_after_the_shutdown_is_rejected_at_once():
+    """The expected duration of a stream is no bound; only its deadline is.
 
-    It was taken since streams of its model had been learnt to take under 2.3 s (three times that
-    must pass before the end); this one took 6.8 s. Only its deadline bounds what a stream takes.
+    A stream that started 0.7 s after the shutdown began was cut off at its end, 6.9 s later. It was
+    accepted because streams of its model had taken less than 2.3 s, a third of the time left; this
+    one took 6.8 s.
     """
 
     async def scenario():
@@ -179,7 +180,7 @@
     run(scenario())
 
 
-def test_at_the_end_of_the_grace_time_what_is_left_gets_its_answer():
+def test_at_the_end_of_the_grace_period_running_requests_get_a_response():
     async def scenario():
         async with world(silent) as here:
             caller = await here.caller()
@@ -193,11 +194,11 @@
     run(scenario())
 
 
-def test_a_gateway_serves_nothing_before_it_is_current():
+def test_a_gateway_serves_no_request_before_it_is_current():
     async def scenario():
         async with world(good) as here:
-            # Found in an incident: after a restart of all, gateways served with the first routes
-            # that a member had applied, and refused what needed the rest.
+            # After a restart of all processes a member may send routes before it has applied all of
+            # them. A gateway that served with those rejected requests that needed later routes.
             here.role._is_current = False
             caller = await here.caller()
             caller.send("once")
@@ -209,7 +210,7 @@
     run(scenario())
 
 
-def test_readiness_is_told_at_its_own_address():
+def test_readiness_is_served_at_its_own_address():
     async def scenario():
         async with world(good) as here:
             port = here.role._ready_server._server.sockets[0].getsockname()[1]
@@ -229,10 +230,10 @@
     run(scenario())
 
 
-def test_a_connection_that_comes_up_as_the_process_ends_is_not_served():
-    # Found by a soak (seeds 34 and 37): a connection that was accepted as the listener closed came
-    # up when the last other one had ended. Its request was passed on and ran, and the process ended
-    # without its answer, 1 ms later.
+def test_a_connection_that_opens_as_the_process_stops_is_not_served():
+    # A connection that is accepted while the listener closes may be set up after the last other one
+    # has ended. Its request was forwarded and ran, and the process stopped 1 ms later without its
+    # response.
     async def scenario():
         async with world(good) as here:
             await here.role.drain()
@@ -240,7 +241,7 @@
             loop = asyncio.get_running_loop()
             await loop.connect_accepted_socket(lambda: CallerConnection(here.role), ours)
             caller = Caller(*await asyncio.open_connection(sock=theirs))
-            # It is closed before or after the request is written, and nothing is answered.
+            # It is closed before or after the request is written, without a response.
             with contextlib.suppress(ConnectionError):
                 caller.send("once")
                 assert await asyncio.wait_for(caller.reader.read(), 5) == b""
@@ -249,9 +250,9 @@
     run(scenario())
 
 
-def test_what_a_refused_caller_lacked_is_asked_for_until_it_comes_back():
-    # Found by a score: on a day of high load 6 of 32 models were never served. Requests for them
-    # were refused early, and the control group forgets what is not asked for again.
+def test_missing_resources_of_a_rejected_request_are_reported_until_it_returns():
+    # The control group forgets demand that is not reported again. Under high load 6 of 32 models
+    # were never served, because requests for them were rejected early.
     async def scenario():
         async with world(good, models=()) as here:
             asked = []
@@ -266,9 +267,9 @@
     run(scenario())
 
 
-def test_only_what_the_routes_know_is_asked_for():
-    # Callers choose the names of models: a caller that makes them up must not have the group asked
-    # for each of them again and again.
+def test_only_resources_known_to_the_routes_are_reported():
+    # Callers choose the names of models: made-up names must not be reported to the group again and
+    # again.
     async def scenario():
         async with world(good, models=()) as here:
             asked = []
@@ -283,7 +284,7 @@
     run(scenario())
 
 
-def test_the_number_of_resources_that_are_asked_for_again_is_bounded():
+def test_the_number_of_resources_that_are_reported_again_is_bounded():
     asked = MissingResources()
     for number in range(MOST_KEPT + 10):
         asked.keep(f"m{number}", 0.0)
@@ -291,9 +292,9 @@
     assert len(due) == MOST_KEPT and "m9" not in due and "m10" in due
 
 
-def test_a_patient_route_that_is_ranked_higher_counts_as_urgent_in_part():
-    # Where such a route asked for models beside one with a short target, its models were the last
-    # to be loaded, and it was served least though the operator ranks it higher.
+def test_a_patient_route_with_a_higher_rank_counts_as_urgent_in_part():
+    # Otherwise models of such a route are loaded after those of a route with a short target
+    # latency, and it is served least although the operator ranks it higher.
     async def scenario():
         async with world(good) as here:
             for _ in range(100):
--- a/tests/test_gateway_http.py
+++ b/tests/test_gateway_http.py
@@ -1,4 +1,4 @@
-"""The gateway against replicas and callers that do everything wrong that may be met."""
+"""The gateway with replicas and callers that violate HTTP or the protocol, or fail."""
 
 import asyncio
 import socket
@@ -19,10 +19,10 @@
     world,
 )
 
-UNREAD_S = 0.05
+SETTLE_S = 0.05
 
 
-def test_a_request_is_passed_on_unchanged_but_for_its_connection():
+def test_a_request_is_forwarded_unchanged_except_for_connection_headers():
     async def scenario():
         async with world(good) as here:
             caller = await here.caller()
@@ -38,27 +38,27 @@
     run(scenario())
 
 
-def test_a_connection_to_a_replica_is_used_again_and_again():
+def test_a_connection_to_a_replica_is_reused():
     async def scenario():
         async with world(good) as here:
             caller = await here.caller()
             for number in range(5):
                 status, _, _ = await caller.ask("once", f"r{number}")
                 assert status == 200
-            # Found on a measured day: a flag of the parser was never cleared, so that every
-            # connection was thrown away after its second use.
+            # A parser flag that is never cleared would discard each connection after its second
+            # use.
             assert here._replicas[0].connections == 1
 
     run(scenario())
 
 
-def test_a_body_in_chunks_arrives_whole():
+def test_a_chunked_body_arrives_complete():
     async def scenario():
         async with world(good) as here:
             caller = await here.caller()
             head = f"POST /once/x HTTP/1.1\r\nHost: h.example\r\n{ID}: r1\r\n"
             caller.writer.write(head.encode() + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-            await asyncio.sleep(UNREAD_S)
+            await asyncio.sleep(SETTLE_S)
             caller.writer.write(b"2\r\nde\r\n0\r\n\r\n")
             status, _ = await caller.head()
             assert status == 200 and here._replicas[0].requests[0][2] == b"abcde"
@@ -66,7 +66,7 @@
     run(scenario())
 
 
-def test_only_what_was_not_run_goes_to_another_replica():
+def test_only_a_request_that_was_not_run_goes_to_another_replica():
     async def scenario():
         async with world(not_run, good) as here:
             for number in range(4):
@@ -78,7 +78,7 @@
     run(scenario())
 
 
-def test_a_request_that_may_have_run_is_not_sent_again():
+def test_a_request_that_may_have_run_is_not_retried():
     async def scenario():
         async with world(closes, closes) as here:
             status, headers, _ = await (await here.caller()).ask("once")
@@ -88,7 +88,7 @@
     run(scenario())
 
 
-def test_a_repeatable_request_is_sent_again_as_often_as_its_route_allows():
+def test_a_repeatable_request_is_retried_as_often_as_its_route_allows():
     async def scenario():
         async with world(closes, closes, closes) as here:
             status, _, _ = await (await here.caller()).ask("safe")
@@ -102,7 +102,7 @@
     run(scenario())
 
 
-def test_when_nobody_ran_it_the_caller_is_told_when_to_come_back():
+def test_a_request_that_no_replica_ran_is_rejected_with_retry_after():
     async def scenario():
         async with world(not_run, not_run) as here:
             status, headers, _ = await (await here.caller()).ask("once")
@@ -124,27 +124,27 @@
 
 
 @pytest.mark.parametrize("script", [extra_bytes, extra_later])
-def test_bytes_after_a_whole_answer_belong_to_no_request(script):
+def test_bytes_after_a_complete_response_are_discarded(script):
     async def scenario():
         async with world(script) as here:
             for number in range(4):
                 status, _, body = await (await here.caller()).ask("once", f"r{number}")
                 assert (status, body) == (200, b"fine")
-                await asyncio.sleep(UNREAD_S)
+                await asyncio.sleep(SETTLE_S)
 
     run(scenario())
 
 
-async def late_answer_first(headers, writer, number):
+async def late_response_first(headers, writer, number):
     if number > 1:
         writer.write(answer("r0", b"late"))
     writer.write(answer(headers[ID]))
     return True
 
 
-def test_an_answer_to_an_earlier_request_is_passed_over():
+def test_a_response_to_an_earlier_request_is_skipped():
     async def scenario():
-        async with world(late_answer_first) as here:
+        async with world(late_response_first) as here:
             caller = await here.caller()
             for number in range(3):
                 status, _, body = await caller.ask("once", f"r{number + 1}")
@@ -160,7 +160,7 @@
 
 async def unframed_reset(headers, writer, _number):
     writer.write(answer(headers[ID], length=False))
-    await asyncio.sleep(UNREAD_S)
+    await asyncio.sleep(SETTLE_S)
     # Closing with linger time 0 resets the connection.
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -187,12 +187,12 @@
     return True
 
 
-async def unproved_promise(headers, writer, _number):
+async def unverified_rejection(headers, writer, _number):
     writer.write(answer(headers[ID], b"", "503 Busy"))
     return True
 
 
-def test_an_answer_without_length_is_whole_when_its_connection_ends_cleanly():
+def test_a_response_without_length_is_complete_when_its_connection_closes_cleanly():
     async def scenario():
         async with world(unframed) as here:
             status, headers, body = await (await here.caller()).ask("once")
@@ -202,26 +202,26 @@
 
 
 @pytest.mark.parametrize(
-    "script", [unframed_reset, cut_short, encoded, unstamped, not_http, unproved_promise]
+    "script", [unframed_reset, cut_short, encoded, unstamped, not_http, unverified_rejection]
 )
-def test_what_is_not_the_replicas_whole_answer_is_never_passed_on(script):
+def test_an_incomplete_or_unverified_response_is_never_relayed(script):
     async def scenario():
         async with world(script) as here:
             status, headers, _ = await (await here.caller()).ask("once")
-            # It ran or may have run: no promise, no signature.
+            # The request ran or may have run: no `Retry-After`, no stamp of the replica.
             assert status == 502 and STAMP not in headers
 
     run(scenario())
 
 
-async def own_failure(headers, writer, _number):
+async def error_response(headers, writer, _number):
     writer.write(answer(headers[ID], b"oops", "500 Failed"))
     return True
 
 
-def test_a_replicas_own_failure_is_passed_on_with_its_signature():
+def test_an_error_response_of_a_replica_is_relayed_with_its_stamp():
     async def scenario():
-        async with world(own_failure) as here:
+        async with world(error_response) as here:
             status, headers, body = await (await here.caller()).ask("once")
             assert (status, headers[STAMP], body) == (500, "s1", b"oops")
 
@@ -244,23 +244,23 @@
     return script
 
 
-def test_events_are_passed_on_as_they_come():
+def test_events_are_relayed_as_they_arrive():
     async def scenario():
         async with world(streaming(3, pause_s=0.3)) as here:
             caller = await here.caller()
             loop = asyncio.get_running_loop()
-            started_s = loop.time()
+            started_at_s = loop.time()
             caller.send("stream")
             await caller.head()
             await caller.reader.readuntil(b"id: 0")
-            assert loop.time() - started_s < 0.25
+            assert loop.time() - started_at_s < 0.25
             rest = await caller.reader.readuntil(b"0\r\n\r\n")
             assert b"id: 2" in rest
 
     run(scenario())
 
 
-def test_a_stream_that_breaks_off_is_seen_to_break_off():
+def test_a_stream_that_breaks_off_breaks_off_for_the_caller():
     async def scenario():
         async with world(streaming(2, ends=False, pause_s=0.02)) as here:
             caller = await here.caller()
@@ -272,14 +272,14 @@
 
 
 @pytest.mark.parametrize("script", [silent, streaming(1000, pause_s=0.02)])
-def test_a_caller_that_leaves_frees_its_replica_at_once(script):
+def test_a_caller_that_disconnects_frees_its_replica_at_once(script):
     async def scenario():
         async with world(script) as here:
             caller = await here.caller()
             caller.send("stream")
             while not here._replicas[0].requests:
                 await asyncio.sleep(0.01)
-            await asyncio.sleep(UNREAD_S)
+            await asyncio.sleep(SETTLE_S)
             caller.leave()
             async with asyncio.timeout(0.5):
                 while here.role.pool.in_use("i-1"):
@@ -288,19 +288,19 @@
     run(scenario())
 
 
-def test_the_routes_time_out_is_kept_and_promises_nothing():
+def test_the_timeout_of_the_route_is_enforced_without_retry_after():
     async def scenario():
         async with world(silent) as here:
             loop = asyncio.get_running_loop()
-            started_s = loop.time()
+            started_at_s = loop.time()
             status, headers, _ = await (await here.caller()).ask("short")
             assert status == 504 and "retry-after" not in headers
-            assert 0.2 < loop.time() - started_s < 0.45
+            assert 0.2 < loop.time() - started_at_s < 0.45
 
     run(scenario())
 
 
-def test_unknown_routes_and_callers_that_ask_too_much():
+def test_unknown_routes_and_invalid_or_oversized_requests():
     async def scenario():
         async with world(good, configuration=routes(max_body_bytes=10)) as here:
             assert (await (await here.caller()).ask("nowhere"))[0] == 404
@@ -315,7 +315,7 @@
     run(scenario())
 
 
-def test_a_caller_too_slow_with_its_headers_is_told_so():
+def test_a_caller_that_sends_headers_too_slowly_gets_408():
     async def scenario():
         async with world(good, configuration=routes(header_timeout_ms=150.0)) as here:
             caller = await here.caller()
@@ -325,7 +325,7 @@
     run(scenario())
 
 
-def test_a_repeat_that_reached_no_replica_costs_nothing_of_the_retry_budget():
+def test_a_retry_that_reached_no_replica_is_not_charged_to_the_retry_budget():
     async def scenario():
         async with world(good, good) as here:
             first, second = here._replicas
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -29,11 +29,11 @@
 
 
 @DIRECTIONS
-def test_a_change_is_in_force_though_streams_between_members_and_gateways_went_silent(
+def test_a_change_takes_effect_though_streams_between_members_and_gateways_went_silent(
     tmp_path, to_target, to_caller
 ):
-    # Seen as a hypothesis for a change that was not in force: a member whose stream from the leader
-    # is silent applies nothing, and has the leader confirm on another stream that it should.
+    # A member whose stream from the leader is silent applies nothing, while the leader confirms on
+    # another stream what it should have applied. A change would then not take effect there.
     async def scenario():
         group = ControlGroup(tmp_path)
         await group.start()
@@ -46,7 +46,7 @@
                 relay.silence(to_target, to_caller)
             await group.publish(2)
             await until(lambda: gateway.follower.routes_version == 2)
-            # All members have it, and stay together: nobody is left behind a silent stream.
+            # All members have it: none is left behind a silent stream.
             machines = [role._machine for role in group.roles]
             await until(lambda: all(item.routes.current.version == 2 for item in machines))
         finally:
@@ -56,9 +56,9 @@
     run(scenario())
 
 
-def test_a_replica_whose_open_connections_went_silent_is_asked_on_new_ones():
-    # A request on such a connection waits for its deadline, since it may have run. The others that
-    # are kept open to the same replica are as old and must not cost a request each.
+def test_a_replica_whose_open_connections_went_silent_is_used_on_new_ones():
+    # A request on such a connection waits for its deadline, since it may have run. The other idle
+    # connections to that replica are as old and must not cost a request each.
     async def scenario():
         async with world(good) as here:
             relay = SilencingRelay()
@@ -83,7 +83,7 @@
     run(scenario())
 
 
-class StandInEngine:
+class FakeEngine:
     """Answers reports and orders, and counts the orders that it accepted."""
 
     def __init__(self):
@@ -118,9 +118,9 @@
 
 
 @DIRECTIONS
-def test_an_engine_whose_open_connections_went_silent_is_ordered_on_new_ones(to_target, to_caller):
+def test_an_engine_whose_open_connections_went_silent_gets_orders_on_new_ones(to_target, to_caller):
     async def scenario():
-        engine, relay = StandInEngine(), SilencingRelay()
+        engine, relay = FakeEngine(), SilencingRelay()
         target = await engine.start()
         (port,) = free_ports(1)
         await relay.listen(port, target)
@@ -132,7 +132,7 @@
         relay.silence(to_target, to_caller)
         order = EngineOrder(OrderKind.LOAD, "m0", "", 0, "n", 1)
         answers = [await calls.order(instance, order) for _ in range(4)]
-        # Nothing says whether the first copies arrived; a report on a new connection does.
+        # Only a report on a new connection shows whether the first attempts arrived.
         assert answers[0] is OrderAnswer.UNKNOWN
         assert answers[-1] in (OrderAnswer.ACCEPTED, OrderAnswer.NOT_NOW)
         assert (await calls.report(instance)).sequence == engine.accepted == 1
@@ -144,8 +144,8 @@
 
 @DIRECTIONS
 def test_a_request_of_a_caller_that_went_silent_ends_with_its_deadline(to_target, to_caller):
-    # Behind a relay that keeps acknowledging nothing tells that the caller is gone: its deadline
-    # ends the request, and the gateway goes on serving others.
+    # Behind a relay that still acknowledges, the gateway can't detect that the caller is gone. The
+    # deadline ends the request, and the gateway continues to serve others.
     async def scenario():
         async with world(silent) as here:
             relay = SilencingRelay()
