--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,4 @@
-"""Disturbances and work for a simulated group; used by the stateful test and by the soak."""
+"""Faults and commands for a simulated group; used by the stateful test and by the soak."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 class Scenario:
-    """A group with the actions that may befall it."""
+    """A simulated group with random actions."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.random = Random(seed)
@@ -44,7 +44,7 @@
         number = self.random.randrange(30)
         attempt = f"a{self.random.randrange(4)}"
         key = ClaimKey("t", "s", f"k{number}")
-        # Attempts of one key share a body; each is granted at most once in all.
+        # All attempts of a key have the same body; at most one attempt is granted.
         self.propose(OpenClaim(key, b"f", attempt, attempt, 1.0))
 
     def settle_claim(self) -> None:
@@ -63,7 +63,7 @@
         self.propose(ChangeConfiguration(change, 1.0))
 
     def crash(self) -> None:
-        """Crash one member, the leader as often as all others together."""
+        """Crash one member: with probability 1/2 the leader, otherwise any member."""
         leader = self.group.leader()
         name = self.pick([item.member_id for item in self.group.live()])
         if leader is not None and self.random.random() < 0.5:
@@ -71,19 +71,19 @@
         if name is not None and len(self.group.live()) > 1:
             self.group.crash(name)
 
-    def bounce(self) -> None:
-        """Crash a member and start it again at once."""
+    def crash_and_restart(self) -> None:
+        """Crash a member and restart it at once."""
         name = self.pick([item.member_id for item in self.group.live()])
         if name is not None:
             self.group.crash(name)
             self.group.restart(name)
 
-    def work_at_the_edge(self) -> None:
-        """Give a leader work, let little of it out, and take the leader away."""
+    def propose_and_fail(self) -> None:
+        """Propose claims, deliver few messages, and isolate or crash a member."""
         self.open_claim()
         self.group.advance(self.random.choice([0.02, 0.04, 0.1]))
         self.open_claim()
-        self.random.choice([self.cut, self.crash])()
+        self.random.choice([self.isolate, self.crash])()
 
     def crash_at_sync(self) -> None:
         self.group.crash_at_sync = self.random.choice([0.0, 0.02, 0.1])
@@ -93,48 +93,48 @@
         if name is not None:
             self.group.restart(name)
 
-    def cut(self) -> None:
-        """Cut one member off, the leader as often as all others together."""
+    def isolate(self) -> None:
+        """Isolate one member: with probability 1/2 the leader, otherwise any member."""
         leader = self.group.leader()
         name = self.pick(list(self.group.members))
         if leader is not None and self.random.random() < 0.5:
             name = leader.member_id
         if name is not None:
-            self.group.cut = {name}
+            self.group.isolated = {name}
 
     def cut_link(self) -> None:
-        """Cut the link between two members; both still reach the others."""
+        """Block the link between two members, which still reach the others."""
         if len(self.group.members) > 1:
             pair = self.random.sample(list(self.group.members), 2)
             self.group.cut_links.add(frozenset(pair))
 
-    def swap_cuts(self) -> None:
-        """Let a cut member back, but not to the leader."""
+    def reconnect_except_to_leader(self) -> None:
+        """Reconnect the isolated members, but not to the leader."""
         leader = self.group.leader()
-        for name in self.group.cut:
+        for name in self.group.isolated:
             if leader is not None and name != leader.member_id:
                 self.group.cut_links.add(frozenset((name, leader.member_id)))
-        self.group.cut.clear()
+        self.group.isolated.clear()
 
     def return_behind_leader(self) -> None:
-        """Keep a follower cut off until it wants to lead; let it back to all but the leader."""
+        """Isolate a follower until it campaigns; then reconnect it to all but the leader."""
         leader = self.group.leader()
-        if leader is None or leader.member_id in self.group.cut:
+        if leader is None or leader.member_id in self.group.isolated:
             return
         others = [name for name in self.group.members if name != leader.member_id]
         returning = self.random.choice(others)
-        self.group.cut = {returning}
+        self.group.isolated = {returning}
         self.group.advance(3.0)
         self.group.cut_links.add(frozenset((returning, leader.member_id)))
-        self.group.cut.clear()
+        self.group.isolated.clear()
         for name in others:
             if name != returning and self.random.random() < 0.5:
                 self.group.crash(name)
                 self.group.restart(name)
         self.group.advance(self.random.choice([0.5, 1.5]))
 
-    def hand_over_and_cut(self) -> None:
-        """Start a hand-over and cut the link between both soon after."""
+    def transfer_and_cut_links(self) -> None:
+        """Start a leadership transfer and block links of the leader soon after."""
         leader = self.group.leader()
         if leader is None or not leader.node.transfer_leadership(leader.now_s()):
             return
@@ -145,8 +145,8 @@
                 self.group.cut_links.add(frozenset((name, leader.member_id)))
         self.group.advance(0.5)
 
-    def uncut(self) -> None:
-        self.group.cut.clear()
+    def restore_links(self) -> None:
+        self.group.isolated.clear()
         self.group.cut_links.clear()
         self.group.loss = self.random.choice([0.0, 0.05, 0.2])
 
@@ -165,15 +165,15 @@
         self.group.advance(self.random.choice([0.1, 0.5, 1.2, 3.0]))
 
     def replace_member(self) -> None:
-        """Lose a disk; the member comes back as a learner with a new identity."""
+        """Lose a disk; the member returns as a learner with a new identity."""
         leader = self.group.leader()
         if self.replacing is not None or leader is None:
             return
         victims = [name for name in leader.node.membership.voters if name != leader.member_id]
         victim = self.pick(victims)
         others_up = [name for name in victims if name != victim and self.group.members[name].up]
-        whole = len(others_up) + 1 >= leader.node.membership.quorum
-        if victim is None or not whole:
+        has_quorum = len(others_up) + 1 >= leader.node.membership.quorum
+        if victim is None or not has_quorum:
             return
         self.group.crash(victim)
         del self.group.members[victim]
@@ -183,7 +183,7 @@
         self.replacing = (victim, fresh)
 
     def continue_replacement(self) -> None:
-        """Add the learner, then let the product's own steps carry it forward."""
+        """Add the learner, then apply the steps of `next_membership`."""
         leader = self.group.leader()
         if self.replacing is None or leader is None or leader.node.leader is None:
             return
@@ -204,23 +204,41 @@
             leader.process()
 
     def act(self) -> None:
-        """Do one random thing, work more often than disturbance, and heal now and then.
+        """Perform one random action: commands more often than faults, and sometimes heal.
 
-        Without healing most of a run would pass without a leader, and prove little.
+        Without healing, most of a run would pass without a leader and test little.
         """
         if self.random.random() < 0.1:
             self.group.heal()
             self.group.advance(1.5)
-        work = [self.open_claim, self.settle_claim, self.change_configuration, self.advance]
-        disturbances = [
-            *(self.crash, self.restart, self.cut, self.uncut, self.compact, self.transfer),
+        commands = [self.open_claim, self.settle_claim, self.change_configuration, self.advance]
+        faults = [
+            *(
+                self.crash,
+                self.restart,
+                self.isolate,
+                self.restore_links,
+                self.compact,
+                self.transfer,
+            ),
             *(self.crash_at_sync, self.replace_member, self.continue_replacement),
-            *(self.bounce, self.work_at_the_edge, self.work_at_the_edge, self.restart, self.uncut),
-            *(self.cut_link, self.swap_cuts, self.return_behind_leader, self.hand_over_and_cut),
+            *(
+                self.crash_and_restart,
+                self.propose_and_fail,
+                self.propose_and_fail,
+                self.restart,
+                self.restore_links,
+            ),
+            *(
+                self.cut_link,
+                self.reconnect_except_to_leader,
+                self.return_behind_leader,
+                self.transfer_and_cut_links,
+            ),
         ]
-        chosen = work if self.random.random() < 0.6 else disturbances
+        chosen = commands if self.random.random() < 0.6 else faults
         self.random.choice(chosen)()
 
     def finish(self) -> None:
-        """Heal everything and check that all members agree."""
+        """Heal the group and check that all members agree."""
         self.group.settle()
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,8 +1,8 @@
-"""A simulated group of consensus members: network, disks and clocks under one random source.
+"""A simulated group of consensus members: network, disks and clocks share one random source.
 
-It drives the product's own core and state machine. What holds across members (one leader a term,
-equal logs, at most one lease, one grant a key, rising revisions) is checked after each step; what
-holds within a member is asserted inside the product.
+The simulation drives crowsill's own consensus core and state machine. It checks the invariants
+across members (one leader per term, equal logs, at most one lease, one grant per key, increasing
+revisions) after each step; crowsill itself checks the invariants within a member.
 """
 
 from dataclasses import dataclass, field
@@ -31,7 +31,7 @@
 
 @dataclass
 class Disk:
-    """What one member has synced."""
+    """Durable state of one member."""
 
     hard_state: HardState = field(default_factory=HardState)
     entries: list[LogEntry] = field(default_factory=list)
@@ -57,7 +57,7 @@
 
 
 class SimulatedMember:
-    """One member: core, state machine and disk; a step may stop before its sync."""
+    """One member with core, state machine and disk; it may crash before a sync completes."""
 
     def __init__(self, group: "SimulatedGroup", member_id: str, disk: Disk) -> None:
         self.group = group
@@ -109,7 +109,7 @@
         self.node.compact(snapshot.index)
 
     def process(self) -> None:
-        """Carry out effects; a sync takes time, during which messages still come in."""
+        """Execute effects; a sync takes time, during which the member still receives messages."""
         while self.up:
             if self.syncing is not None:
                 if self.group.now_s < self.synced_at_s:
@@ -152,15 +152,15 @@
 
 
 class SimulatedGroup:
-    """Members with a network that loses, delays, repeats and cuts."""
+    """Members with a network that loses, delays, duplicates and blocks messages."""
 
     def __init__(self, size: int, random: Random, loss: float = 0.05) -> None:
         self.random = random
         self.loss = loss
         self.crash_at_sync = 0.0
         self.now_s = 0.0
-        self.flying: list[tuple[float, Envelope]] = []
-        self.cut: set[str] = set()
+        self.in_flight: list[tuple[float, Envelope]] = []
+        self.isolated: set[str] = set()
         self.cut_links: set[frozenset[str]] = set()
         self.leaders: dict[int, str] = {}
         self.applied: dict[int, LogEntry] = {}
@@ -176,13 +176,13 @@
 
     def send(self, envelopes: list[Envelope]) -> None:
         for envelope in envelopes:
-            copies = 2 if self.random.random() < 0.02 else 1
-            for _ in range(copies):
+            duplicates = 2 if self.random.random() < 0.02 else 1
+            for _ in range(duplicates):
                 if self.random.random() >= self.loss:
-                    # Most messages are quick; a few are held up for longer than an election.
+                    # Most messages are fast; a few are delayed for longer than an election.
                     mean_s = 1.0 if self.random.random() < 0.03 else 0.03
                     delay_s = self.random.expovariate(1 / mean_s)
-                    self.flying.append((self.now_s + delay_s, envelope))
+                    self.in_flight.append((self.now_s + delay_s, envelope))
 
     def sync_delay_s(self) -> float:
         return self.random.choice([0.0, 0.0, 0.01, 0.05, 0.4])
@@ -195,13 +195,13 @@
         return max(leaders, key=lambda member: member.node.term, default=None)
 
     def advance(self, duration_s: float) -> None:
-        """Let time pass in small steps, delivering what is due."""
+        """Advance the time in small steps and deliver the messages that are due."""
         end_s = self.now_s + duration_s
         while self.now_s < end_s:
             self.now_s += 0.02
             self.steps += 1
-            due = [item for item in self.flying if item[0] <= self.now_s]
-            self.flying = [item for item in self.flying if item[0] > self.now_s]
+            due = [item for item in self.in_flight if item[0] <= self.now_s]
+            self.in_flight = [item for item in self.in_flight if item[0] > self.now_s]
             for _, envelope in sorted(due, key=lambda item: item[0]):
                 self.deliver(envelope)
             for member in self.live():
@@ -212,7 +212,7 @@
     def deliver(self, envelope: Envelope) -> None:
         target = self.members.get(envelope.target)
         link = frozenset((envelope.source, envelope.target))
-        blocked = bool(self.cut & link) or link in self.cut_links
+        blocked = bool(self.isolated & link) or link in self.cut_links
         if target is not None and target.up and not blocked:
             target.node.step(target.now_s(), envelope)
             target.process()
@@ -251,7 +251,7 @@
             member.start()
 
     def heal(self) -> None:
-        self.cut.clear()
+        self.isolated.clear()
         self.cut_links.clear()
         self.loss = 0.0
         self.crash_at_sync = 0.0
@@ -268,12 +268,12 @@
         raise AssertionError("no leader although a majority is connected")
 
     def present(self, leader: SimulatedMember) -> list[SimulatedMember]:
-        """The members of the group that still exist."""
+        """Return the members of the newest membership that still exist."""
         ids = leader.node.membership.ids
         return [self.members[name] for name in ids if name in self.members]
 
     def settle(self) -> None:
-        """Heal, and wait until all voters have applied the same."""
+        """Heal, and wait until all members have applied the same entries."""
         self.heal()
         leader = self.wait_for_leader()
         for _ in range(400):
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -1,4 +1,4 @@
-"""Randomised runs of whole groups; the invariants are asserted while they run."""
+"""Random runs of simulated groups, which check the invariants while they run."""
 
 from random import Random
 
@@ -12,9 +12,23 @@
 
 ACTIONS = [
     *("open_claim", "settle_claim", "change_configuration", "advance", "advance", "crash"),
-    *("restart", "cut", "uncut", "compact", "transfer", "crash_at_sync", "replace_member"),
-    *("continue_replacement", "bounce", "work_at_the_edge", "cut_link", "swap_cuts"),
-    *("return_behind_leader", "hand_over_and_cut"),
+    *(
+        "restart",
+        "isolate",
+        "restore_links",
+        "compact",
+        "transfer",
+        "crash_at_sync",
+        "replace_member",
+    ),
+    *(
+        "continue_replacement",
+        "crash_and_restart",
+        "propose_and_fail",
+        "cut_link",
+        "reconnect_except_to_leader",
+    ),
+    *("return_behind_leader", "transfer_and_cut_links"),
 ]
 
 
@@ -46,10 +60,10 @@
     assert scenario.group.steps > 0
 
 
-def test_a_silently_cut_leader_loses_its_lease_before_another_gets_one():
+def test_an_isolated_leader_loses_its_lease_before_another_gets_one():
     group = SimulatedGroup(3, Random(5), loss=0.0)
     old = group.wait_for_leader()
-    group.cut.add(old.member_id)
+    group.isolated.add(old.member_id)
     group.advance(10.0)
     new = group.leader()
     assert new is not None and new is not old
@@ -61,16 +75,16 @@
     group = SimulatedGroup(3, Random(6), loss=0.0)
     leader = group.wait_for_leader()
     other = next(name for name in group.members if name != leader.member_id)
-    group.cut.add(other)
+    group.isolated.add(other)
     group.advance(20.0)
     term = leader.node.term
-    group.cut.clear()
+    group.isolated.clear()
     group.advance(5.0)
     assert leader.node.term == term and leader.node.is_established_leader
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_planned_hand_over_takes_less_than_an_election_timeout(seed):
+def test_a_leadership_transfer_takes_less_than_an_election_timeout(seed):
     group = SimulatedGroup(3, Random(seed), loss=0.0)
     old = group.wait_for_leader()
     group.advance(1.0)
@@ -82,8 +96,8 @@
     assert group.leader() not in (None, old)
 
 
-def test_a_group_is_not_whole_while_a_promotion_is_only_proposed():
-    # Found by a soak: a leader called the group whole, and vanished with the promotion.
+def test_a_group_is_not_fully_replicated_while_a_promotion_is_uncommitted():
+    # Guards against a leader that reports a full group and is then lost with the promotion.
     scenario = Scenario(3, 11)
     group = scenario.group
     group.loss = 0.0
--- a/tests/test_consensus_unit.py
+++ b/tests/test_consensus_unit.py
@@ -1,4 +1,4 @@
-"""Single members of a group."""
+"""Single members of a consensus group, and small groups with a lossless network."""
 
 from random import Random
 
@@ -28,11 +28,11 @@
 def granted(node, now_s, target="a"):
     request = VoteRequest(4, 9, 3, pre_vote=True, transfer=False)
     node.step(now_s, Envelope("g", "b", target, request))
-    answers = [envelope.message for envelope in node.take_ready().messages]
-    return [answer.granted for answer in answers]
+    responses = [envelope.message for envelope in node.take_ready().messages]
+    return [response.granted for response in responses]
 
 
-def test_a_restarted_member_refuses_votes_until_a_lease_it_may_hold_up_has_passed():
+def test_a_restarted_member_rejects_votes_until_a_lease_it_may_support_has_expired():
     node = restarted(now_s=100.0)
     assert granted(node, 100.9) == [False]
     assert granted(node, 101.1) == [True]
@@ -44,7 +44,7 @@
 
 
 def exchange(nodes, now_s):
-    """Deliver all messages until there are none; return the members that lead."""
+    """Deliver all messages until none are left; return the names of the leaders."""
     for _ in range(20):
         envelopes = []
         for node in nodes.values():
@@ -57,7 +57,7 @@
 
 
 def tick(nodes, since_s, until_s):
-    """Let time pass in steps of a hundredth; return the first clock with a leader, or None."""
+    """Advance the time in steps of 10 ms; return the first time with a leader, or None."""
     for step in range(int((until_s - since_s) * 100)):
         now_s = since_s + step / 100.0
         for node in nodes.values():
@@ -73,13 +73,13 @@
     assert elected_s is not None and elected_s < 100.5, "no lease of 1 s is left to wait for"
 
 
-def test_a_majority_that_restarted_waits_for_the_lease_of_the_one_that_did_not():
+def test_a_restarted_majority_waits_for_the_lease_of_the_member_that_did_not_restart():
     nodes = {name: restarted(100.0, name) for name in "ab"}
     elected_s = tick(nodes, 100.05, 104.0)
     assert elected_s is not None and elected_s >= 101.0
 
 
-def test_a_member_that_has_heard_a_leader_starts_no_more_anew():
+def test_a_member_with_leader_contact_no_longer_counts_as_restarted():
     nodes = {name: restarted(100.0, name) for name in "abc"}
     elected_s = tick(nodes, 100.05, 102.0)
     (leader,) = exchange(nodes, elected_s)
@@ -88,18 +88,17 @@
     assert again_s is not None and again_s >= elected_s + 0.95
 
 
-def test_what_is_committed_can_be_told_at_once():
-    """A member that leads told of a commit with its next heartbeat.
+def test_a_commit_can_be_announced_at_once():
+    """Guards against a leader that announces a commit only with its next heartbeat.
 
-    Gateways that follow other members sent on to a replica, or sent a request that ends replicas,
-    for up to 0.1 s more: 98 ms at four of five members ("E512 instance_leaves" at 07.745 and
-    07.843).
+    Gateways that follow other members would then send requests to a draining replica, or retry a
+    request that crashes replicas, for up to one heartbeat interval (0.1 s) longer.
     """
     nodes = {name: restarted(100.0, name) for name in "abc"}
     now_s = tick(nodes, 100.05, 102.0)
     (name,) = exchange(nodes, now_s)
     leader = nodes[name]
-    # What was committed with its election is known to all by the next heartbeats.
+    # The next heartbeats announce the commit of the election to all members.
     for step in range(1, 30):
         leader.tick(now_s + step / 100.0)
         exchange(nodes, now_s + step / 100.0)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,10 +1,9 @@
-"""Replicas that start again under the id that they had, and what is no replica at all.
+"""Replicas that restart under the same id, and invalid descriptions of replicas.
 
-A replica that had counted its heartbeats up to 500 ended and started again at another port, with
-its count at 1: every request was answered "the service has no replica" for as long as was waited,
-since a count that does not rise was taken for a late heartbeat. And a heartbeat with an address
-that is none was recorded: the request that chose it ended by "E105 internal_error where=exchange
-error=ValueError(...)" and its connection was closed without an answer.
+A restarted replica counts its heartbeats from 1 again. If a lower count were taken for a delayed
+heartbeat, all requests would be rejected with "the service has no replica". If a heartbeat with an
+invalid address were recorded, a request to that replica would fail with "E105 internal_error" and
+its connection would be closed without a response.
 """
 
 import asyncio
@@ -16,7 +15,7 @@
 from tests.platform_site import PlatformSite, StandInReplica, configuration
 
 USED_WITHIN_S = 1.0
-BORN_MS = 1_700_000_000_000
+STARTED_MS = 1_700_000_000_000
 
 
 @pytest.fixture
@@ -31,7 +30,7 @@
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
-async def _end(replica):
+async def _crash(replica):
     await replica.stop()
     replica.end_connections()
 
@@ -44,26 +43,26 @@
     await site.until(lambda: _is_served(site))
 
 
-def test_a_replica_that_starts_again_under_its_id_is_used_at_once(site):
+def test_a_replica_that_restarts_under_its_id_is_used_at_once(site):
     async def scenario():
         assert await site.publish(configuration(1)) == 200
         first = StandInReplica(site, 1, "till")
-        first.born = BORN_MS
+        first.born = STARTED_MS
         first._beat_sequence = 500
         await first.start()
         await _served(site)
-        await _end(first)
-        again = StandInReplica(site, 1, "till")
-        again.born = BORN_MS + 5000
-        await again.start()
-        began_s = time.monotonic()
+        await _crash(first)
+        restarted = StandInReplica(site, 1, "till")
+        restarted.born = STARTED_MS + 5000
+        await restarted.start()
+        started_at_s = time.monotonic()
         await _served(site)
-        assert time.monotonic() - began_s < USED_WITHIN_S
-        # A heartbeat of the earlier life that was held up on its way changes nothing.
+        assert time.monotonic() - started_at_s < USED_WITHIN_S
+        # A delayed heartbeat of the former incarnation changes nothing.
         for _ in range(3):
             assert await first.beat()
             assert await _is_served(site)
-        await again.stop()
+        await restarted.stop()
 
     run(scenario())
 
@@ -76,45 +75,45 @@
     return lambda document: document.update(changes)
 
 
-BAD = {
+INVALID_DESCRIPTIONS = {
     "no state": _without("state"),
     "no service": _without("service"),
     "no address": _without("addr"),
     "no count": _without("seq"),
     "no zone": _without("zone"),
-    "a state that is none": _with(state="resting"),
+    "an unknown state": _with(state="resting"),
     "a state of another type": _with(state=1),
-    "an address that is none": _with(addr="nowhere"),
-    "a name for an address": _with(addr="localhost:80"),
-    "a port that is none": _with(addr="127.0.0.1:0"),
+    "an invalid address": _with(addr="nowhere"),
+    "a host name as the address": _with(addr="localhost:80"),
+    "port 0": _with(addr="127.0.0.1:0"),
     "a port too large": _with(addr="127.0.0.1:70000"),
-    "a text for slots": _with(slots="8"),
+    "a string for the slots": _with(slots="8"),
     "no slots": _with(slots=0),
-    "a count below zero": _with(seq=-1),
-    "a text for the count": _with(seq="7"),
-    "a start that is no whole number": _with(born=1.5),
-    "a text for the start": _with(born="today"),
-    "a service that nobody named": _with(service="nobody"),
-    "no text for a service": _with(service=None),
-    "models that are none": _with(models=7),
-    "bytes that are no text": None,
+    "a negative count": _with(seq=-1),
+    "a string for the count": _with(seq="7"),
+    "a fractional start time": _with(born=1.5),
+    "a string for the start time": _with(born="today"),
+    "an unknown service": _with(service="nobody"),
+    "a null service": _with(service=None),
+    "a number for the models": _with(models=7),
+    "bytes that are not UTF-8": None,
 }
 
 
-def test_what_does_not_describe_a_replica_names_none_to_use(site):
+def test_an_invalid_description_is_rejected_and_not_used(site):
     async def scenario():
         assert await site.publish(configuration(1)) == 200
         good = await StandInReplica(site, 1, "till").start()
         await _served(site)
         described = StandInReplica(site, 2, "till")
         described.port = 9
-        for name, change in BAD.items():
+        for name, change in INVALID_DESCRIPTIONS.items():
             document = copy.deepcopy(described.description())
             if change is None:
                 document = b'{"service":"till\xff"}'
             else:
                 change(document)
-            # Of a replica that nobody knows, and of one that is in use.
+            # Once for an unknown replica, and once for a replica in use.
             for instance_id in ("i-2", "i-1"):
                 status = await site.call("PUT", f"/instances/{instance_id}", document)
                 assert status == 400, f"{name}: {status}"
--- a/tests/test_self_repair.py
+++ b/tests/test_self_repair.py
@@ -1,4 +1,4 @@
-"""Random runs of a group that keeps its size by itself, while disks and machines are lost."""
+"""Random runs of a group that restores its size automatically while disks and machines fail."""
 
 import pytest
 
@@ -13,16 +13,16 @@
 
 
 class SelfRepairing(Scenario):
-    """A scenario in which members join and are replaced as on the users' platform."""
+    """A scenario in which members join and are replaced automatically."""
 
     def __init__(self, seed):
         super().__init__(VOTERS, seed)
-        # New members by id, each with the former self whose place it takes.
+        # New members by id, each with the former identity that it replaces.
         self.joining: dict[str, str] = {}
         self.wipes = 0
 
     def lost(self):
-        """Members that are down, or new and not yet trusted again."""
+        """Return the members that are down, removed, or new and not yet voters."""
         newest = max(self.group.members.values(), key=lambda item: item.node.commit_index)
         trusted = set(newest.node.membership.voters)
         down = {name for name, item in self.group.members.items() if not item.up}
@@ -36,7 +36,7 @@
         self.joining[fresh] = replaces
 
     def wipe(self):
-        """Lose a disk; the machine comes back empty, at the same address."""
+        """Lose a disk; the machine returns with an empty disk."""
         if len(self.lost()) >= LOST_AT_ONCE:
             return
         victim = self.pick([name for name, item in self.group.members.items() if item.up])
@@ -50,12 +50,12 @@
         self.wipes += 1
 
     def add_standby(self):
-        """A machine is added."""
+        """Add a machine."""
         if len(self.group.members) < VOTERS + 2:
             self._add("")
 
     def repair(self):
-        """What a leader does every tenth of a second."""
+        """Do what a leader does every 0.1 s."""
         leader = self.group.leader()
         if leader is None or leader.node.leader is None:
             return
@@ -81,16 +81,23 @@
             self.group.heal()
             self.group.advance(1.0)
         if self.random.random() < 0.6:
-            work = [self.open_claim, self.settle_claim, self.change_configuration]
-            self.random.choice(work)()
+            commands = [self.open_claim, self.settle_claim, self.change_configuration]
+            self.random.choice(commands)()
             return
-        harm = [self.wipe, self.wipe, self.cut, self.uncut, self.compact, self.add_standby]
+        faults = [
+            self.wipe,
+            self.wipe,
+            self.isolate,
+            self.restore_links,
+            self.compact,
+            self.add_standby,
+        ]
         if len(self.lost()) < LOST_AT_ONCE:
-            harm += [self.crash, self.bounce, self.transfer]
-        self.random.choice([*harm, self.restart, self.restart])()
+            faults += [self.crash, self.crash_and_restart, self.transfer]
+        self.random.choice([*faults, self.restart, self.restart])()
 
     def until_full(self):
-        """Heal everything; the group must come to its full size by itself."""
+        """Heal the group; it must restore its full size automatically."""
         self.group.heal()
         for _ in range(300):
             self.repair()
@@ -99,10 +106,10 @@
             if leader is None:
                 continue
             voters = leader.node.membership.voters
-            there = [name for name in voters if name in self.group.members]
-            if len(voters) == len(there) == VOTERS and leader.node.membership_is_committed:
+            present = [name for name in voters if name in self.group.members]
+            if len(voters) == len(present) == VOTERS and leader.node.membership_is_committed:
                 return
-        raise AssertionError("the group did not come back to its full size")
+        raise AssertionError("the group did not restore its full size")
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -27,29 +27,29 @@
 from crowsill.state.machine import StateMachine
 
 KEY = ClaimKey("t", "s", "k")
-ANSWER = RecordedResponse(200, "text/plain", b"done")
+RESPONSE = RecordedResponse(200, "text/plain", b"done")
 
 
 def claim(machine, attempt, holder="e1", fingerprint=b"f", at_s=0.0, key=KEY):
     return machine.apply(OpenClaim(key, fingerprint, attempt, holder, at_s)).decision
 
 
-def settle(machine, attempt, settlement, answer=None):
-    return machine.apply(SettleClaim(KEY, attempt, settlement, answer, 0.0)).accepted
+def settle(machine, attempt, settlement, response=None):
+    return machine.apply(SettleClaim(KEY, attempt, settlement, response, 0.0)).accepted
 
 
-def test_life_of_a_claim():
+def test_states_of_a_claim():
     machine = StateMachine()
     assert claim(machine, "a") is ClaimDecision.GRANTED
     assert claim(machine, "a") is ClaimDecision.GRANTED
     assert claim(machine, "b") is ClaimDecision.IN_PROGRESS
     assert claim(machine, "b", fingerprint=b"other") is ClaimDecision.CONFLICT
-    assert settle(machine, "a", ClaimSettlement.ANSWERED, ANSWER)
+    assert settle(machine, "a", ClaimSettlement.ANSWERED, RESPONSE)
     result = machine.apply(OpenClaim(KEY, b"f", "b", "e2", 0.0))
-    assert (result.decision, result.response) == (ClaimDecision.ANSWERED, ANSWER)
+    assert (result.decision, result.response) == (ClaimDecision.ANSWERED, RESPONSE)
 
 
-def test_a_released_claim_goes_to_another_attempt_but_not_to_a_late_copy():
+def test_a_released_claim_is_granted_to_another_attempt_but_not_to_a_late_duplicate():
     machine = StateMachine()
     claim(machine, "a")
     assert settle(machine, "a", ClaimSettlement.NOT_RUN)
@@ -58,13 +58,13 @@
     assert not settle(machine, "a", ClaimSettlement.UNKNOWN)
 
 
-def test_an_abandoned_claim_is_unknown_until_its_answer_comes():
+def test_an_abandoned_claim_is_unknown_until_its_response_arrives():
     machine = StateMachine()
     claim(machine, "a")
     machine.apply(AbandonHolders(["e1"], 0.0))
     assert claim(machine, "b") is ClaimDecision.UNKNOWN
     assert not settle(machine, "a", ClaimSettlement.NOT_RUN)
-    assert settle(machine, "a", ClaimSettlement.ANSWERED, ANSWER)
+    assert settle(machine, "a", ClaimSettlement.ANSWERED, RESPONSE)
     assert claim(machine, "b") is ClaimDecision.ANSWERED
 
 
@@ -75,9 +75,9 @@
 def test_old_claims_are_still_known_until_the_end_of_their_retention():
     machine = StateMachine(claim_retention_s=10 * 3600.0)
     claim(machine, "a")
-    settle(machine, "a", ClaimSettlement.ANSWERED, ANSWER)
+    settle(machine, "a", ClaimSettlement.ANSWERED, RESPONSE)
     assert claim(machine, "b", at_s=3500.0) is ClaimDecision.ANSWERED
-    # After an hour only the key is kept: the request is not run again, and its answer is gone.
+    # After an hour only the key is stored: the request does not run again, but has no response.
     assert claim(machine, "b", at_s=3700.0) is ClaimDecision.UNKNOWN
     copy = StateMachine(claim_retention_s=10 * 3600.0)
     copy.restore(machine.snapshot())
@@ -85,7 +85,7 @@
     assert claim(copy, "b", at_s=12 * 3600.0) is ClaimDecision.GRANTED
 
 
-def test_whole_claims_are_bounded_and_no_used_key_is_forgotten(monkeypatch):
+def test_full_claims_are_bounded_and_no_used_key_is_forgotten(monkeypatch):
     monkeypatch.setattr(claims_module, "MAX_FULL_CLAIMS", 50)
     machine = StateMachine()
     for number in range(300):
@@ -96,16 +96,18 @@
         assert again in (ClaimDecision.UNKNOWN, ClaimDecision.IN_PROGRESS)
 
 
-def test_kept_answers_are_bounded_in_bytes(monkeypatch):
+def test_stored_responses_are_bounded_in_bytes(monkeypatch):
     monkeypatch.setattr(claims_module, "MAX_RESPONSE_BYTES", 1000)
     machine = StateMachine()
-    answer = RecordedResponse(200, "text/plain", b"x" * 100)
+    response = RecordedResponse(200, "text/plain", b"x" * 100)
     for number in range(50):
         key = other_key(number)
         claim(machine, "a", key=key)
-        machine.apply(SettleClaim(key, "a", ClaimSettlement.ANSWERED, answer, 0.0))
-    kept = sum(len(item.response.body) for _, item in machine.claims.dump() if item.response)
-    assert kept <= 1100 and len(machine.claims) == 50
+        machine.apply(SettleClaim(key, "a", ClaimSettlement.ANSWERED, response, 0.0))
+    stored_bytes = sum(
+        len(item.response.body) for _, item in machine.claims.dump() if item.response
+    )
+    assert stored_bytes <= 1100 and len(machine.claims) == 50
 
 
 def template(name="t", traffic_class="c"):
@@ -117,7 +119,7 @@
     return ChangeConfiguration(ConfigurationChange(change_id, base, content), 0.0)
 
 
-def test_one_of_two_racing_changes_wins_and_a_resend_gets_the_first_answer():
+def test_one_of_two_concurrent_changes_wins_and_a_resend_gets_the_first_result():
     machine = StateMachine()
     first = change("x", 0, ConfigurationContent([template()]))
     assert machine.apply(first).decision is ConfigurationDecision.ACCEPTED
@@ -129,7 +131,7 @@
     assert reused.decision is ConfigurationDecision.CONFLICT
 
 
-def test_an_invalid_change_names_its_faults():
+def test_the_result_of_an_invalid_change_lists_its_errors():
     machine = StateMachine()
     tenant = Parameters("tenant", "nothing", [])
     content = ConfigurationContent([template(traffic_class="gone")], [tenant])
@@ -140,7 +142,7 @@
     assert machine.configuration.current.revision == 0
 
 
-def test_a_snapshot_carries_everything():
+def test_a_snapshot_contains_the_full_state():
     machine = StateMachine()
     claim(machine, "a")
     machine.apply(change("x", 0, ConfigurationContent([template()])))
@@ -151,7 +153,7 @@
     assert claim(copy, "b") is ClaimDecision.IN_PROGRESS
 
 
-def test_the_fleet_view_asks_for_a_full_state_after_a_gap():
+def test_the_fleet_view_requests_a_full_state_after_a_gap():
     view = FleetView()
     assert view.adopt(FleetDelta(1, 1, True, [], []))
     assert not view.adopt(FleetDelta(1, 3, False, [], []))
