--- a/spec/orders.py
+++ b/spec/orders.py
@@ -156,8 +156,8 @@
         evidence = OrderEvidence(
             report=ReplicaReport(str(state.view_incarnation), list(state.view)),
             checks_fence=variant.believed_to_check,
-            copies_are_gone=order_id in state.quiet,
-            refused=False,
+            has_no_copy_in_flight=order_id in state.quiet,
+            rejected=False,
         )
         if settlement_of(order, evidence) is not Settlement.OPEN:
             left = tuple(other for other in state.outstanding if other != key)
--- a/src/crowsill/control/placement_controller.py
+++ b/src/crowsill/control/placement_controller.py
@@ -70,7 +70,7 @@
             self._core.demand.add(self._ports.collect_demand(), monotonic_s())
             if not self._core.is_ready_to_plan(monotonic_s()):
                 continue
-            for settled in self._core.settled(monotonic_s()):
+            for settled in self._core.settled_orders(monotonic_s()):
                 await self._settle(settled)
             configuration = self._ports.machine.configuration.current
             for planned in self._core.plan(configuration, monotonic_s()):
@@ -104,7 +104,7 @@
         order_id = _placed_id(await self._ports.submit(command))
         if order_id is None:
             return
-        self._core.placed(planned)
+        self._core.note_placed(planned)
         log_event(
             Event.PLACEMENT_DECIDED,
             order=order_id,
@@ -118,11 +118,11 @@
 
     def _send_due(self) -> None:
         now_s = monotonic_s()
-        for order in self._core.due(now_s):
+        for order in self._core.due_orders(now_s):
             # Without a lease, another leader may already have settled this order.
             if not self._ports.has_lease():
                 return
-            if self._core.sent(order, now_s):
+            if self._core.note_sent(order, now_s):
                 log_event(Event.ORDER_RETRIED, order=order.order_id, replica=order.replica_id)
             task = asyncio.create_task(self._send(order))
             self._send_tasks.add(task)
@@ -130,7 +130,7 @@
 
     async def _send(self, order: Order) -> None:
         description = self._ports.fleet.replicas[order.replica_id].description
-        self._core.replied(order, await self._ports.engines.order(description, order))
+        self._core.note_reply(order, await self._ports.engines.order(description, order))
 
 
 def _placed_id(reply: object) -> int | None:
--- a/src/crowsill/placement/core.py
+++ b/src/crowsill/placement/core.py
@@ -1,7 +1,7 @@
-"""The placement of one leadership as a pure state machine: what to settle, to order and to send.
+"""Placement during one leader's term as a pure state machine: what to settle, order and send.
 
-The controller of a leading member, the randomised order histories and the experiments on virtual
-time all drive this same code.
+The controller of the leader, the randomised tests of order histories and the experiments on
+virtual time all run this code.
 """
 
 from dataclasses import dataclass
@@ -25,10 +25,10 @@
     """Limits that the platform sets.
 
     Attributes:
-        loads_per_s: Loads the weight store starts a second.
-        concurrent_loads: Loads it serves at once.
-        longest_order_delay_s: After this time an order has arrived or never will.
-        longest_report_lag_s: A report is never older than this.
+        loads_per_s: Load starts per second that the weight store allows.
+        concurrent_loads: Concurrent loads that the weight store allows.
+        longest_order_delay_s: Time after which a sent order has arrived or is lost, in seconds.
+        longest_report_lag_s: Maximum age of a report, in seconds.
     """
 
     loads_per_s: float
@@ -39,51 +39,51 @@
 
 @dataclass(frozen=True, slots=True)
 class SettledOrder:
-    """An order that can change nothing any more."""
+    """An order that can no longer change anything."""
 
     order: Order
     succeeded: bool
 
 
 class PlacementCore:
-    """Decides for one leadership.
+    """Decides on placement during one leader's term.
 
     Attributes:
         demand: Requests per second by resource.
-        term: Term of the leadership.
+        term: The leader's term.
     """
 
     def __init__(
         self, orders: OrderTable, fleet: FleetView, limits: PlacementLimits, term: int, now_s: float
     ) -> None:
-        """Begin a leadership.
+        """Start the placement of a term.
 
         Args:
             orders: The replicated orders.
-            fleet: The fleet view of this leadership.
+            fleet: The fleet view of this leader.
             limits: Limits that the platform sets.
-            term: Its term.
-            now_s: Monotonic clock.
+            term: The leader's term.
+            now_s: Monotonic time in seconds.
         """
         self.demand = DemandEstimate()
         self.term = term
         self._orders = orders
         self._fleet = fleet
         self._limits = limits
-        self._started_s = now_s
-        # The model checker found that the order delay alone is too short: a late copy could
-        # land after the report that was believed.
-        quiet_s = limits.longest_order_delay_s + limits.longest_report_lag_s
-        self._sequencer = OrderSequencer(now_s, quiet_s)
+        self._started_at_s = now_s
+        # The order delay alone is too short: the model checker found that a late copy can arrive
+        # after the report on which the settlement was based.
+        max_delay_s = limits.longest_order_delay_s + limits.longest_report_lag_s
+        self._sequencer = OrderSequencer(now_s, max_delay_s)
         self._pacer = LoadPacer(limits.loads_per_s, limits.concurrent_loads, now_s)
 
     def is_ready_to_plan(self, now_s: float) -> bool:
-        """Whether reports are this leadership's own and newer than anything settled before it."""
-        waited = now_s - self._started_s > self._limits.longest_report_lag_s
+        """Whether all reports came to this leader and are newer than all earlier settlements."""
+        waited = now_s - self._started_at_s > self._limits.longest_report_lag_s
         return waited and self._fleet.epoch == self.term
 
-    def settled(self, now_s: float) -> list[SettledOrder]:
-        """Return the orders that are settled but not yet recorded as such."""
+    def settled_orders(self, now_s: float) -> list[SettledOrder]:
+        """Return the orders that are settled but not yet recorded as settled."""
         found: list[SettledOrder] = []
         for order in self._orders.outstanding:
             settlement = self._settlement(order, now_s)
@@ -92,16 +92,16 @@
         return found
 
     def _settlement(self, order: Order, now_s: float) -> Settlement:
-        gone = self._sequencer.copies_are_gone(order, now_s)
+        has_no_copy_in_flight = self._sequencer.has_no_copy_in_flight(order, now_s)
         state = self._fleet.replicas.get(order.replica_id)
         if state is None:
             # The platform no longer lists the machine.
-            return Settlement.DEAD if gone else Settlement.OPEN
+            return Settlement.DEAD if has_no_copy_in_flight else Settlement.OPEN
         evidence = OrderEvidence(
             report=state.report,
             checks_fence=state.description.checks_fence,
-            copies_are_gone=gone,
-            refused=self._sequencer.is_refused(order),
+            has_no_copy_in_flight=has_no_copy_in_flight,
+            rejected=self._sequencer.is_rejected(order),
         )
         return settlement_of(order, evidence)
 
@@ -134,7 +134,7 @@
         ledger.open(description.replica_id, description.memory_mib)
         for resource in {*report.resident, *report.loading}:
             spec = resources.get(resource)
-            # What nobody here ever ordered may take everything.
+            # A resource of unknown size, which was never ordered, may take all the memory.
             unknown_mib = description.memory_mib
             ordered_mib = self._orders.sizes.get(resource, unknown_mib if spec is None else 0)
             memory_mib = max(ordered_mib, 0 if spec is None else spec.memory_mib)
@@ -145,41 +145,41 @@
             zone=description.zone,
             capacity_mib=description.memory_mib,
             slots=description.max_concurrency,
-            placeable=state.accepts_work,
+            accepts_loads=state.accepts_work,
             one_order_at_a_time=not description.checks_fence,
             resident=set(report.resident),
             loading=set(report.loading),
         )
 
-    def placed(self, planned: PlannedOrder) -> None:
-        """Note that a planned order was committed."""
+    def note_placed(self, planned: PlannedOrder) -> None:
+        """Record that a planned order was committed."""
         if planned.kind is OrderKind.LOAD:
-            self._pacer.started()
+            self._pacer.note_load()
 
-    def due(self, now_s: float) -> list[Order]:
-        """Return the orders to send now; only the holder of the lease may send them."""
+    def due_orders(self, now_s: float) -> list[Order]:
+        """Return the orders to send now; only a leader with a lease may send them."""
         due: list[Order] = []
-        for order in self._sequencer.due(self._orders.outstanding, now_s):
+        for order in self._sequencer.due_orders(self._orders.outstanding, now_s):
             state = self._fleet.replicas.get(order.replica_id)
             if state is not None and state.report.incarnation == order.incarnation:
                 due.append(order)
         return due
 
-    def sent(self, order: Order, now_s: float) -> bool:
-        """Note that an order goes out; return whether it had been sent before."""
-        return self._sequencer.sent(order, now_s)
+    def note_sent(self, order: Order, now_s: float) -> bool:
+        """Record that an order is sent; return whether it was sent before."""
+        return self._sequencer.note_sent(order, now_s)
 
-    def replied(self, order: Order, reply: OrderReply) -> None:
-        """Take in an engine's reply to an order."""
+    def note_reply(self, order: Order, reply: OrderReply) -> None:
+        """Process an engine's reply to an order."""
         if reply in (OrderReply.ACCEPTED, OrderReply.STALE):
-            # Orders go out one by one, so a stale one has been taken before.
-            self._sequencer.acknowledged(order)
+            # Orders are sent one at a time, so a stale order was accepted before.
+            self._sequencer.note_acknowledged(order)
         elif reply is OrderReply.REFUSED:
-            self._sequencer.refused(order)
+            self._sequencer.note_rejected(order)
 
 
 def _count_pending(engine: EngineState, order: Order, ledger: MemoryLedger) -> None:
-    # Counted whatever the incarnation: a late copy may still be on its way.
+    # Counted for any incarnation, because a late copy may still be in flight.
     ledger.observe(order.replica_id, order.resource, order.memory_mib)
     pending = engine.loading if order.kind is OrderKind.LOAD else engine.unloading
     pending.add(order.resource)
--- a/src/crowsill/placement/ledger.py
+++ b/src/crowsill/placement/ledger.py
@@ -1,8 +1,8 @@
-"""The memory ledger: what may be on each accelerator, in the worst case.
+"""The memory ledger: the worst-case use of memory on each accelerator.
 
-A resource counts from the moment its load is ordered until its unload is confirmed by the
-engine's own report, whatever happens to messages in between. The promise, asserted at each step,
-is that the sum never passes the capacity.
+A resource counts from the time when its load is ordered until the engine's own report confirms its
+unload, whatever happens to messages in between. The invariant, asserted at each reservation, is
+that the sum never exceeds the capacity.
 """
 
 from dataclasses import dataclass, field
@@ -12,11 +12,11 @@
 
 @dataclass(slots=True)
 class AcceleratorAccount:
-    """Memory of one replica.
+    """The memory of one replica, in MiB.
 
     Attributes:
-        capacity_mib: What it has.
-        held: Memory by resource that is or may be there.
+        capacity_mib: Its capacity.
+        held: Memory of each resource that the replica holds or may hold.
     """
 
     capacity_mib: int
@@ -24,17 +24,17 @@
 
     @property
     def used_mib(self) -> int:
-        """Memory that is or may be taken."""
+        """Memory that is or may be in use, in MiB."""
         return sum(self.held.values())
 
     @property
     def free_mib(self) -> int:
-        """Memory that is certainly free."""
+        """Memory that is free in the worst case, in MiB."""
         return self.capacity_mib - self.used_mib
 
 
 class MemoryLedger:
-    """Accounts by replica.
+    """Memory accounts by replica.
 
     >>> ledger = MemoryLedger()
     >>> ledger.open("a", 10)
@@ -46,13 +46,13 @@
         self.accounts: dict[str, AcceleratorAccount] = {}
 
     def open(self, replica_id: str, capacity_mib: int) -> None:
-        """Start an account, empty."""
+        """Create an empty account."""
         self.accounts[replica_id] = AcceleratorAccount(capacity_mib)
 
     def reserve(self, replica_id: str, resource: str, memory_mib: int) -> bool:
-        """Take memory for a resource; return False when it does not fit.
+        """Reserve memory for a resource; return False if it doesn't fit.
 
-        A resource that is held already keeps the larger of both sizes.
+        A resource that is already held keeps the larger of the two sizes.
         """
         account = self.accounts[replica_id]
         held_mib = account.held.get(resource, 0)
@@ -64,13 +64,13 @@
         return True
 
     def observe(self, replica_id: str, resource: str, memory_mib: int) -> None:
-        """Count what an engine reports to hold, whether it fits or not.
+        """Count a resource that an engine reports to hold, whether it fits or not.
 
-        A report is a fact; if it exceeds the capacity nothing more is ever reserved there.
+        While the reported resources exceed the capacity, no reservation succeeds.
         """
         account = self.accounts[replica_id]
         account.held[resource] = max(memory_mib, account.held.get(resource, 0))
 
     def free_mib(self, replica_id: str) -> int:
-        """Return the memory that is certainly free."""
+        """Return the memory that is free in the worst case, in MiB."""
         return self.accounts[replica_id].free_mib
--- a/src/crowsill/placement/settlement.py
+++ b/src/crowsill/placement/settlement.py
@@ -1,8 +1,9 @@
-"""When an order can no longer change anything. Pure.
+"""The rule by which an order is settled, so that it can no longer change anything. Pure.
 
-A back end that checks fences refuses every copy of an order once it has taken a newer one, and all
-orders for an earlier incarnation. One that does not check may take any copy that is still under
-way, so nothing about it is settled before the last copy sent must have arrived or died.
+A back end that checks fences rejects every copy of an order once it has accepted a newer one, and
+all orders for an earlier incarnation. A back end that doesn't check fences may accept any copy that
+is still in flight. So none of its orders is settled before the last sent copy has arrived or is
+lost.
 """
 
 from dataclasses import dataclass
@@ -14,7 +15,13 @@
 
 
 class Settlement(StrEnum):
-    """What is known about an order."""
+    """The state of an order.
+
+    Attributes:
+        OPEN: It may still change something.
+        SUCCEEDED: It was carried out.
+        DEAD: It was not carried out and never will be.
+    """
 
     OPEN = "open"
     SUCCEEDED = "succeeded"
@@ -26,35 +33,39 @@
     """What a leader knows about one order.
 
     Attributes:
-        report: The engine's newest report.
-        checks_fence: Whether the engine refuses older orders.
-        copies_are_gone: Whether the report was made after every copy that any leader sent had
-            arrived or died. A report made before may miss what a late copy did since.
-        refused: Whether the engine has refused it for lack of memory.
+        report: The newest report of the engine.
+        checks_fence: Whether the engine rejects older orders.
+        has_no_copy_in_flight: Whether the report was made after every copy that any leader sent had
+            arrived or was lost. An earlier report may lack the effect of a late copy.
+        rejected: Whether the engine has rejected the order for lack of memory.
     """
 
     report: ReplicaReport
     checks_fence: bool
-    copies_are_gone: bool
-    refused: bool
+    has_no_copy_in_flight: bool
+    rejected: bool
 
 
 def settlement_of(order: Order, evidence: OrderEvidence) -> Settlement:
-    """Decide whether an order is settled.
+    """Return whether and how an order is settled.
 
     Args:
         order: A committed order.
-        evidence: What is known about it.
+        evidence: What the leader knows about it.
     """
     report = evidence.report
-    if not evidence.checks_fence and not evidence.copies_are_gone:
+    if not evidence.checks_fence and not evidence.has_no_copy_in_flight:
         return Settlement.OPEN
     if report.incarnation != order.incarnation:
         return Settlement.DEAD
     present = order.resource in report.resident
     if present == (order.kind is OrderKind.LOAD):
         return Settlement.SUCCEEDED
-    # A refused order may be taken by a late copy once there is memory again.
-    if evidence.refused and evidence.copies_are_gone and order.resource not in report.loading:
+    # A late copy of a rejected order may still be accepted once the engine has memory again.
+    if (
+        evidence.rejected
+        and evidence.has_no_copy_in_flight
+        and order.resource not in report.loading
+    ):
         return Settlement.DEAD
     return Settlement.OPEN
--- a/src/crowsill/placement/types.py
+++ b/src/crowsill/placement/types.py
@@ -1,4 +1,4 @@
-"""What the planner reads and what it decides."""
+"""Input and output types of the planner."""
 
 from dataclasses import dataclass, field
 
@@ -13,10 +13,10 @@
     Attributes:
         name: `model` or `model:adapter`.
         model: Its base model; equal to `name` for a model.
-        pool: Pool of engines that may hold it.
-        memory_mib: Memory it takes.
-        move_price: Gain that a move must bring.
-        copies: Copies wanted where memory is free.
+        pool: Pool of the engines that may hold it.
+        memory_mib: Memory that it takes, in MiB.
+        move_price: Gain that a further copy must exceed, in requests per second.
+        copies: Target number of copies if memory is free.
     """
 
     name: str
@@ -28,7 +28,7 @@
 
     @property
     def is_adapter(self) -> bool:
-        """Whether it is loaded beside a base model."""
+        """Whether it is an adapter of a base model."""
         return self.name != self.model
 
 
@@ -40,13 +40,13 @@
         replica_id: The engine.
         pool: Its pool.
         zone: Its site.
-        capacity_mib: Its memory.
-        slots: Requests it runs at once.
-        placeable: Whether new loads may go there.
-        busy: Whether it must settle its present order before it is given another one.
-        one_order_at_a_time: Whether each order must be settled before the next; set for engines
-            that do not check fences.
-        resident: Resources that answer there now.
+        capacity_mib: Its memory, in MiB.
+        slots: Number of requests that it runs at once.
+        accepts_loads: Whether it accepts new loads.
+        busy: Whether its current order must be settled before it gets another one.
+        one_order_at_a_time: Whether each order must be settled before the next one; set for engines
+            that don't check fences.
+        resident: Resources that it holds and serves now.
         loading: Resources with an unsettled load.
         unloading: Resources with an unsettled unload.
     """
@@ -56,7 +56,7 @@
     zone: str
     capacity_mib: int
     slots: int
-    placeable: bool
+    accepts_loads: bool
     busy: bool = False
     one_order_at_a_time: bool = False
     resident: set[str] = field(default_factory=set)
@@ -65,26 +65,26 @@
 
     @property
     def present(self) -> set[str]:
-        """Resources that answer there now or soon."""
+        """Resources that it serves now or soon and that are to stay."""
         return (self.resident | self.loading) - self.unloading
 
     @property
-    def settled(self) -> set[str]:
-        """Resources that answer there now and are to stay."""
+    def serving(self) -> set[str]:
+        """Resources that it serves now and that are to stay."""
         return self.resident - self.unloading
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedOrder:
-    """One step that the planner wants.
+    """An order that the planner decided on.
 
     Attributes:
         kind: Load or unload.
         replica_id: The engine.
-        resource: What to load or unload.
-        memory_mib: Memory it takes.
-        gain: Demand within reach that it wins, in requests per second.
-        price: Gain it had to pass.
+        resource: The resource to load or unload.
+        memory_mib: Memory of the resource, in MiB.
+        gain: Demand that it adds capacity for, in requests per second; negative for an unload.
+        price: Gain that it had to exceed.
         reason: One or two words for the log.
     """
 
--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -1,7 +1,7 @@
-"""A world of engines on virtual time, with lost, late and repeated orders and changing leaders.
+"""A simulation of engines on virtual time, with lost, late and repeated orders and new leaders.
 
-It drives the product's own placement core and order table. The engines are the lab's, whose own
-account of memory is independent of the ledger.
+It runs the placement core and the order table of the product. The engines are those of the lab,
+whose own account of memory is independent of the ledger.
 """
 
 from dataclasses import dataclass
@@ -42,31 +42,32 @@
 
 
 @dataclass
-class Flying:
-    """Something on its way: an order to an engine, a reply or a report to the leader."""
+class InFlightMessage:
+    """A message in flight: an order to an engine, or its reply to the leader."""
 
-    due_s: float
+    due_at_s: float
     kind: str
     engine: str
     content: object
 
 
-class OrdersWorld:
-    """Engines, a network and one leadership after the other."""
+class OrdersSimulation:
+    """Engines, a network and a sequence of leaders."""
 
     def __init__(self, seed: int, engines: int = 4, checks_fence: bool | None = None) -> None:
         self.random = Random(seed)
         self.now_s = 0.0
-        self.flying: list[Flying] = []
+        self.in_flight: list[InFlightMessage] = []
         self.orders = OrderTable()
         self.fleet = FleetView()
         self.term = 0
         self.starts = 0
         self.engines: dict[str, EngineCore] = {}
         self.loading: list[tuple[float, str, str, str]] = []
-        self.leaving: set[str] = set()
+        self.draining: set[str] = set()
         self.failures = 0
-        self.excused = False
+        # Set once a restart or a change of the models in use may cause the unload of a last copy.
+        self.may_unload_last_copy = False
         self.last_copies_lost = 0
         for index in range(engines):
             fenced = self.random.random() < 0.5 if checks_fence is None else checks_fence
@@ -100,7 +101,7 @@
         return ReplicaReport(
             core.incarnation,
             sorted(core.resident),
-            draining=name in self.leaving,
+            draining=name in self.draining,
             loading=sorted(core.loading),
         )
 
@@ -108,7 +109,7 @@
         self.term += 1
         self.core = PlacementCore(self.orders, self.fleet, LIMITS, self.term, self.now_s)
         self.sequence = 0
-        self.shown_s: dict[str, float] = {}
+        self.shown_at_s: dict[str, float] = {}
 
     def publish(self) -> None:
         states = []
@@ -126,28 +127,29 @@
         self.sequence += 1
         self.fleet.adopt(FleetDelta(self.term, self.sequence, True, states, []))
 
-    def fly(self, kind: str, engine: str, content: object, longest_s: float) -> None:
+    def transmit(self, kind: str, engine: str, content: object, max_delay_s: float) -> None:
+        """Send a message, which may be lost, delayed or duplicated."""
         for _ in range(self.random.choice([0, 1, 1, 1, 2])):
-            delay_s = min(longest_s, self.random.expovariate(4.0))
+            delay_s = min(max_delay_s, self.random.expovariate(4.0))
             if self.random.random() < 0.1:
-                delay_s = longest_s * self.random.random()
-            self.flying.append(Flying(self.now_s + delay_s, kind, engine, content))
+                delay_s = max_delay_s * self.random.random()
+            self.in_flight.append(InFlightMessage(self.now_s + delay_s, kind, engine, content))
 
     def step(self) -> None:
-        """Let one step of time pass."""
+        """Advance the time by one step."""
         self.now_s += STEP_S
-        due = [item for item in self.flying if item.due_s <= self.now_s]
-        self.flying = [item for item in self.flying if item.due_s > self.now_s]
+        due = [item for item in self.in_flight if item.due_at_s <= self.now_s]
+        self.in_flight = [item for item in self.in_flight if item.due_at_s > self.now_s]
         for item in due:
-            self.arrive(item)
-        for finish in [item for item in self.loading if item[0] <= self.now_s]:
-            self.loading.remove(finish)
-            _, name, incarnation, resource = finish
+            self.deliver(item)
+        for finished in [item for item in self.loading if item[0] <= self.now_s]:
+            self.loading.remove(finished)
+            _, name, incarnation, resource = finished
             core = self.engines[name]
             if core.incarnation == incarnation and resource in core.loading:
                 core.loaded(resource)
         self.observe()
-        self.lead()
+        self.run_leader()
 
     def observe(self) -> None:
         oldest_s = self.now_s - LIMITS.longest_report_lag_s
@@ -155,22 +157,22 @@
             history.append((self.now_s, self.report_of(name)))
             while len(history) > 1 and history[1][0] < oldest_s:
                 history.pop(0)
-            # A report may be old, but one leadership never sees an older one after a newer one.
-            newest_shown_s = max(self.shown_s.get(name, 0.0), oldest_s)
-            self.shown_s[name] = self.random.uniform(newest_shown_s, self.now_s)
-            shown = [item for item in history if item[0] <= self.shown_s[name]]
+            # A report may be old, but one leader never receives an older one after a newer one.
+            newest_shown_at_s = max(self.shown_at_s.get(name, 0.0), oldest_s)
+            self.shown_at_s[name] = self.random.uniform(newest_shown_at_s, self.now_s)
+            shown = [item for item in history if item[0] <= self.shown_at_s[name]]
             self.reports[name] = (shown or history)[-1 if shown else 0][1]
         self.publish()
 
-    def arrive(self, item: Flying) -> None:
+    def deliver(self, item: InFlightMessage) -> None:
         if item.kind == "order":
-            self.take_order(item.engine, item.content)
+            self.execute_order(item.engine, item.content)
         elif item.kind == "reply":
             term, order, reply = item.content
             if term == self.term:
-                self.core.replied(order, reply)
+                self.core.note_reply(order, reply)
 
-    def take_order(self, name: str, content: object) -> None:
+    def execute_order(self, name: str, content: object) -> None:
         term, order = content
         core = self.engines[name]
         body = OrderBody(
@@ -188,14 +190,14 @@
                 self.check_other_copy(name, order.resource)
             core.unload(body)
         elif status == 202:
-            known = order.resource in core.resident or order.resource in core.loading
+            was_there = order.resource in core.resident or order.resource in core.loading
             fits = core.reserve(body)
             require(fits, "accelerator memory is not overcommitted, by the engine's own account")
-            if not known:
+            if not was_there:
                 duration_s = self.random.uniform(0.2, 2.0)
                 load = (self.now_s + duration_s, name, core.incarnation, order.resource)
                 self.loading.append(load)
-        self.fly("reply", name, (term, order, reply), 1.0)
+        self.transmit("reply", name, (term, order, reply), 1.0)
 
     def check_other_copy(self, name: str, resource: str) -> None:
         if resource not in used_resources(self.configuration):
@@ -205,14 +207,14 @@
             for other, core in self.engines.items()
             if other != name and resource in core.resident
         ]
-        require(bool(elsewhere) or self.excused, "the last copy is never unloaded")
+        require(bool(elsewhere) or self.may_unload_last_copy, "the last copy is never unloaded")
         self.last_copies_lost += not elsewhere
 
-    def lead(self) -> None:
+    def run_leader(self) -> None:
         self.core.demand.add({f"m{self.random.randrange(6)}": self.random.randrange(8)}, self.now_s)
         if not self.core.is_ready_to_plan(self.now_s):
             return
-        for settled in self.core.settled(self.now_s):
+        for settled in self.core.settled_orders(self.now_s):
             self.orders.settle(settled.order.order_id)
         for planned in self.core.plan(self.configuration, self.now_s):
             incarnation = self.reports[planned.replica_id].incarnation
@@ -227,38 +229,38 @@
                     self.now_s,
                 )
             )
-            self.core.placed(planned)
-        for order in self.core.due(self.now_s):
-            self.core.sent(order, self.now_s)
+            self.core.note_placed(planned)
+        for order in self.core.due_orders(self.now_s):
+            self.core.note_sent(order, self.now_s)
             self.send(order)
 
     def send(self, order: Order) -> None:
-        self.fly("order", order.replica_id, (self.term, order), LIMITS.longest_order_delay_s)
+        self.transmit("order", order.replica_id, (self.term, order), LIMITS.longest_order_delay_s)
 
     def disturb(self) -> None:
-        """Change the leader, restart an engine, or let one leave or come back."""
+        """Change the leader or the models in use, restart or drain an engine, or end the drain."""
         kind = self.random.choice(["leader", "leader", "restart", "leave", "return", "use", "use"])
         name = self.random.choice(list(self.engines))
         if kind == "leader":
             self.start_leader()
         elif kind == "restart":
             self.failures += 1
-            self.excused = True
+            self.may_unload_last_copy = True
             self.start_engine(name, self.engines[name].shape.checks_fence)
-        elif kind == "leave" and len(self.leaving) < 1:
-            self.leaving.add(name)
+        elif kind == "leave" and len(self.draining) < 1:
+            self.draining.add(name)
         elif kind == "return":
-            self.leaving.clear()
+            self.draining.clear()
         elif kind == "use":
-            # A model that comes back into use may have an unload of it still under way.
-            self.excused = True
+            # An unload of a model may still be running when the model is used again.
+            self.may_unload_last_copy = True
             models = sorted(self.template.models)
             self.configuration = self.configuration_of(self.random.sample(models, 4))
 
     def missing(self) -> set[str]:
         resident: set[str] = set()
         for name, core in self.engines.items():
-            if name not in self.leaving:
+            if name not in self.draining:
                 resident.update(core.resident)
         return set(used_resources(self.configuration)) - resident
 
@@ -269,10 +271,10 @@
                 self.disturb()
 
     def recover_s(self, limit_s: float = 120.0) -> float:
-        """Time without disturbances until everything is resident."""
+        """Return the time until all resources are resident, without disturbances, in seconds."""
         start_s = self.now_s
-        self.leaving.clear()
+        self.draining.clear()
         while self.missing():
-            require(self.now_s - start_s < limit_s, "all models come back")
+            require(self.now_s - start_s < limit_s, "all models become resident again")
             self.step()
         return self.now_s - start_s
--- a/tests/test_order_histories.py
+++ b/tests/test_order_histories.py
@@ -1,22 +1,22 @@
-"""Randomised histories of orders against engines that check fences and engines that do not."""
+"""Randomised histories of orders, with engines that check fences and engines that don't."""
 
 import pytest
 
-from tests.orders_world import OrdersWorld
+from tests.orders_world import OrdersSimulation
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_memory_and_copies_in_a_random_history(seed):
-    world = OrdersWorld(seed)
-    world.run(400)
-    world.recover_s()
+    simulation = OrdersSimulation(seed)
+    simulation.run(400)
+    simulation.recover_s()
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-def test_unloads_never_take_the_last_copy_without_failures(checks_fence):
-    world = OrdersWorld(7, checks_fence=checks_fence)
+def test_the_last_copy_is_never_unloaded_without_failures(checks_fence):
+    simulation = OrdersSimulation(7, checks_fence=checks_fence)
     for _ in range(600):
-        world.step()
-        if world.random.random() < 0.02:
-            world.start_leader()
-    assert world.failures == 0 and not world.missing()
+        simulation.step()
+        if simulation.random.random() < 0.02:
+            simulation.start_leader()
+    assert simulation.failures == 0 and not simulation.missing()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's single steps."""
+"""Single steps of the planner."""
 
 from crowsill.placement.ledger import MemoryLedger
 from crowsill.placement.planner import Planner, PlanningInput
@@ -25,9 +25,9 @@
     return EngineState(name, "p", name, 100, 4, True, resident=set(resident))
 
 
-def test_spares_with_adapters_make_way_for_a_missing_model():
-    # Found by the demonstration: a model of a leaving engine was never loaded elsewhere, because
-    # the spare copies that filled the memory all had adapters beside them.
+def test_spare_copies_with_adapters_are_unloaded_for_a_missing_model():
+    # Guards against a model of a draining engine that is never loaded elsewhere, because the spare
+    # copies that fill the memory all have adapters beside them.
     names = {"a": 85, "a:x": 10, "missing": 60}
     resources = {name: spec(name, memory_mib) for name, memory_mib in names.items()}
     engines = [engine("e1", "a", "a:x"), engine("e2", "a", "a:x")]
@@ -39,14 +39,14 @@
     assert len({order.replica_id for order in orders}) == 1
 
 
-def test_a_base_model_stays_while_an_adapter_answers_only_beside_it():
+def test_a_base_model_stays_while_its_adapter_is_served_nowhere_else():
     names = {"a": 85, "a:x": 10, "missing": 60}
     resources = {name: spec(name, memory_mib) for name, memory_mib in names.items()}
     orders = plan([engine("e1", "a", "a:x"), engine("e2", "a")], resources)
     assert {(order.replica_id, order.resource) for order in orders} == {("e2", "a")}
 
 
-def test_missing_copies_come_before_spares():
+def test_missing_copies_are_loaded_before_spare_copies():
     resources = {name: spec(name, 60) for name in ("a", "b")}
     orders = plan([engine("e1", "a"), engine("e2")], resources)
     assert [(order.replica_id, order.resource, order.reason) for order in orders] == [
