--- a/src/crowsill/gateway/availability.py
+++ b/src/crowsill/gateway/availability.py
@@ -1,9 +1,11 @@
-"""What keeps a replica from being sent requests, by whoever's word. Pure.
-
-One life of a replica has one such state. What it said of itself outlasts its record: a push of the
-directory, or a snapshot, says less than the replica. A rest is a bound, not advice: no whole answer
-to an earlier request and no lack of another replica ends it before its time. What calls have shown
-is advice where a replica broke answers off, and a bound where no connection could be made.
+"""Decides whether a replica may be sent requests. Pure.
+
+The state follows from the replica's own reports, from the directory and from failed attempts. Each
+incarnation of a replica has one such state. What the replica reported itself outlives its registry
+record, because a directory update or snapshot carries less than the replica's own responses. A
+backoff is a strict bound: neither a complete response to an earlier request nor the lack of other
+replicas shortens it. Failures are a preference where the replica interrupted responses, and a
+strict bound where no connection could be made.
 """
 
 import math
@@ -12,34 +14,36 @@
 
 from crowsill.routing.advertised_limit import AdvertisedLimit
 
-# After a broken answer a replica is tried only if nothing else is left, for so long; twice as long
-# after each further one in a row.
+# After an interrupted response, a replica is tried only if no other is left, for this time. Each
+# further interruption in a row doubles it.
 INITIAL_FAILURE_PAUSE_S = 0.3
 MAX_FAILURE_PAUSE_S = 4.0
 
-# After a rest a replica gets one request at a time, twice as many as each is taken in, and no
-# bound once it took in so many: sent all at once, what had waited would make it shed again.
+# After a backoff, a replica gets this many requests without a response head at a time. The bound
+# doubles with each accepted request and is lifted once it has reached MAX_PROBES. If all waiting
+# requests were sent at once, the replica would shed again.
 INITIAL_PROBES = 1
 MAX_PROBES = 16
-# A replica that sheds has had too much, also of this process: it gets this share of what it had as
-# it shed, and all of that again within so many times the rest that it cost.
+# A replica that sheds load was overloaded, also by this process. It starts with this share of the
+# in-flight requests that it had when it shed, and regains all of them within RECOVERY_BACKOFFS
+# times the length of that backoff.
 LOAD_SHARE_AFTER_SHED = 0.5
 RECOVERY_BACKOFFS = 10.0
-# No refused caller is told to come back later than this because of those before it under a limit:
-# most of them give up before.
+# Under a rate limit, each rejected caller gets a later retry time than the one before, up to this
+# bound: most callers give up sooner.
 MAX_LIMIT_RETRY_AFTER_S = 10.0
 
 
 class ExclusionReason(StrEnum):
-    """Why a replica is not to be sent requests; the first that holds counts.
+    """Why a replica is not to be sent requests; the first one that applies counts.
 
     Attributes:
-        REPORTED_DRAINING: It said so in an answer.
-        LISTED_DRAINING: The directory says so.
-        BACKING_OFF: It asked for rest in an answer.
-        RATE_LIMITED: All gateways together have sent it what it takes by the limit that it names.
+        REPORTED_DRAINING: It reported in a response that it drains.
+        LISTED_DRAINING: The directory lists it as draining.
+        BACKING_OFF: It asked for a backoff in a response.
+        RATE_LIMITED: All gateways together have used up the rate limit that it advertises.
         UNREACHABLE: No connection could be made to it.
-        FAILING: It broke answers off; it is tried if nothing else is left.
+        FAILING: It interrupted responses; it is tried if no other replica is left.
     """
 
     REPORTED_DRAINING = "leaving"
@@ -55,15 +59,15 @@
     """Why a replica is not to be sent requests, and until when.
 
     Attributes:
-        reason: Why.
-        ends_at_s: Clock until which; infinite where nobody can tell.
+        reason: The reason.
+        ends_at_s: Time when it ends; infinite if unknown.
     """
 
     reason: ExclusionReason
     ends_at_s: float = float("inf")
 
     def remaining_s(self, now_s: float) -> float | None:
-        """Return for how much longer, or None where nobody can tell.
+        """Return for how many more seconds it lasts, or None if unknown.
 
         >>> Exclusion(ExclusionReason.BACKING_OFF, 5.0).remaining_s(3.0)
         2.0
@@ -74,30 +78,34 @@
 
 @dataclass(slots=True)
 class Availability:
-    """Whether one life of a replica may be sent requests. Clocks are those of the caller.
+    """Whether one incarnation of a replica may be sent requests.
+
+    All times are on the caller's monotonic clock, in seconds.
 
     Attributes:
-        available_at_s: Clock until which it is sent nothing, by all that follows but a pause after
-            broken answers; infinite where nobody can tell. Choosing looks at nothing else.
-        backoff_ends_at_s: Clock until which it wants nothing from this process.
-        drain_reported_at_s: Clock when it first said that it leaves; None if it did not.
-        sent_in_backoff: Requests sent there since its present rest began.
-        had_unreadable_signal: Whether it has said something that could not be read.
-        has_backed_off: Whether it ever asked for rest.
-        max_probes: Requests without the head of an answer that it may have after a rest.
-        probes: Those that it has.
-        in_flight_at_shed: Requests that it had of this process as it asked for rest last.
-        shed_backoff_s: The rest that it asked for then; 0 if it never did.
-        is_listed_draining: Whether the directory says that it leaves.
-        is_unreachable: Whether no connection could be made to it at the last try.
-        failures: Answers that it broke off, in a row.
-        failure_pause_ends_at_s: Clock until which it is tried only if nothing else is left.
-        missing_resources: Models and adapters that it said it does not hold.
-        limit: The rate that it names.
-        limit_opens_at_s: Clock until which no request there is granted under that.
-        non_urgent_opens_at_s: Clock until which none is granted that can wait.
-        next_return_at_s: Clock until which refused callers were told to come back under the limit.
-        sent_under_limit: Requests sent there since it began to name a limit.
+        available_at_s: Time until which it is sent nothing, for any reason but a pause after
+            failures; infinite if unknown. Selection reads this instead of the attributes that it
+            follows from.
+        backoff_ends_at_s: Time until which it accepts nothing from this process.
+        drain_reported_at_s: Time when it first reported that it drains; None if it did not.
+        sent_in_backoff: Requests sent to it since its current backoff began.
+        had_unreadable_signal: Whether it has sent a signal that could not be parsed.
+        has_backed_off: Whether it ever asked for a backoff.
+        max_probes: Requests without a response head that it may have after a backoff; None for no
+            bound.
+        probes: Requests of that kind that it has.
+        in_flight_at_shed: Requests of this process that it had when it last asked for a backoff.
+        shed_backoff_s: Length of that backoff; 0 if it never asked for one.
+        is_listed_draining: Whether the directory lists it as draining.
+        is_unreachable: Whether the last attempt to connect to it failed.
+        failures: Responses that it interrupted, in a row.
+        failure_pause_ends_at_s: Time until which it is tried only if no other replica is left.
+        missing_resources: Models and adapters that it reported as not loaded.
+        limit: The rate limit that it advertises.
+        limit_opens_at_s: Time until which no request to it is granted under that limit.
+        non_urgent_opens_at_s: Time until which no request that can wait is granted.
+        next_return_at_s: Earliest time to give to the next rejected caller under the limit.
+        sent_under_limit: Requests sent to it since it began to advertise a limit.
 
     >>> known = Availability()
     >>> known.note_backoff(3.0, now_s=10.0), known.is_backing_off(12.9), known.is_backing_off(13.0)
@@ -132,11 +140,11 @@
     available_at_s: float = field(default=float("-inf"), init=False)
 
     def __post_init__(self) -> None:
-        """Work out until when it is closed."""
+        """Initialize `available_at_s`."""
         self._update_available_at()
 
     def _update_available_at(self) -> None:
-        """Work out anew until when it is sent nothing."""
+        """Recompute `available_at_s` from the other attributes."""
         is_closed_indefinitely = (
             self.has_reported_draining or self.is_listed_draining or self.is_unreachable
         )
@@ -144,11 +152,11 @@
 
     @property
     def urgent_opens_at_s(self) -> float:
-        """Clock when its rest is over and a request there may be granted."""
+        """Time when its backoff is over and an urgent request may be granted."""
         return max(self.backoff_ends_at_s, self.limit_opens_at_s)
 
     def opens_at_s(self, is_urgent: bool) -> float:
-        """Return the clock when a request of a kind may be sent there again."""
+        """Return the time when a request may be sent to it again, urgent or not."""
         return (
             self.urgent_opens_at_s
             if is_urgent
@@ -157,14 +165,14 @@
 
     @property
     def is_closed_indefinitely(self) -> bool:
-        """Whether it is sent nothing until somebody says otherwise."""
+        """Whether it is sent nothing until a further report changes that."""
         return math.isinf(self.available_at_s) and self.available_at_s > 0.0
 
     def exclusion(self, now_s: float, is_urgent: bool = True) -> Exclusion | None:
         """Return why it is not to be sent requests now, and until when; None when it may be.
 
         Args:
-            now_s: Clock.
+            now_s: Current monotonic time.
             is_urgent: Whether the requests cannot wait.
         """
         if self.has_reported_draining:
@@ -186,27 +194,27 @@
         return None
 
     def accepts_on_open_connection(self, now_s: float) -> bool:
-        """Whether a request on an open connection may still go there, right before its bytes do."""
+        """Whether a request may be sent on an open connection; checked just before it is written."""
         return (
             not self.has_reported_draining
             and not self.is_listed_draining
             and not self.is_backing_off(now_s)
         )
 
-    # What the replica says.
+    # Reports of the replica.
 
     def is_backing_off(self, now_s: float) -> bool:
-        """Whether it wants nothing from this process now."""
+        """Whether it accepts nothing from this process now."""
         return now_s < self.backoff_ends_at_s
 
     @property
     def has_reported_draining(self) -> bool:
-        """Whether it said that it leaves."""
+        """Whether it reported that it drains."""
         return self.drain_reported_at_s is not None
 
     @property
     def has_reported_state(self) -> bool:
-        """Whether there is anything to remember of this life."""
+        """Whether its reports must be remembered when its registry record is removed."""
         return (
             self.has_reported_draining
             or self.backoff_ends_at_s > float("-inf")
@@ -214,34 +222,34 @@
         )
 
     def note_backoff(self, backoff_s: float, now_s: float, in_flight: int = 1) -> bool:
-        """Take in that it asked for rest; return whether a rest begins with it.
+        """Record that it asked for a backoff; return whether a new one begins.
 
         Args:
-            backoff_s: How long from now it wants nothing.
-            now_s: Clock.
-            in_flight: Own requests that it had, with the one that it turned away.
+            backoff_s: Time from now for which it accepts nothing.
+            now_s: Current monotonic time.
+            in_flight: Own requests that it had, including the one that it rejected.
         """
-        begins = not self.is_backing_off(now_s)
-        if begins:
+        is_new = not self.is_backing_off(now_s)
+        if is_new:
             self.sent_in_backoff = 0
-        if begins and in_flight > 1:
-            # That the only request there is turned away does not say how many are too many.
+        if is_new and in_flight > 1:
+            # With a single request in flight, a rejection doesn't show how many are too many.
             self.in_flight_at_shed = in_flight - 1.0
             self.shed_backoff_s = backoff_s
         self.backoff_ends_at_s = max(self.backoff_ends_at_s, now_s + backoff_s)
         self.max_probes = INITIAL_PROBES
         self.has_backed_off = True
         self._update_available_at()
-        return begins
+        return is_new
 
     def note_limit(self, per_s: float, now_s: float) -> bool:
-        """Take in that an answer names a limit; return whether it is new, or another one."""
+        """Record an advertised rate limit; return whether it is new or has changed."""
         if not self.limit.is_advertised:
             self.sent_under_limit = 0
         return self.limit.note(per_s, now_s)
 
     def close_for_limit(self, ends_at_s: float, is_urgent: bool = True) -> None:
-        """No request there is granted before a clock, or none that can wait."""
+        """Grant no request before a time, or none that can wait."""
         if not is_urgent:
             self.non_urgent_opens_at_s = ends_at_s
             return
@@ -249,9 +257,10 @@
         self._update_available_at()
 
     def reserve_return_at_s(self, now_s: float, is_urgent: bool = True) -> float:
-        """Return the clock when one more refused caller may come back under the limit.
+        """Return the time when one more rejected caller may retry under the limit.
 
-        Each is told a later one: told the same, all would come at once to be refused again.
+        Each caller gets a later one: with equal times, all would retry at once and be rejected
+        again.
 
         >>> known = Availability()
         >>> known.note_limit(2.0, now_s=0.0), known.close_for_limit(1.0)
@@ -265,32 +274,32 @@
         return return_at_s
 
     def note_draining(self, now_s: float) -> bool:
-        """Take in that it leaves; return whether that is new."""
+        """Record that it reported that it drains; return whether that is new."""
         is_new = self.drain_reported_at_s is None
         if is_new:
             self.drain_reported_at_s = now_s
             self._update_available_at()
         return is_new
 
-    # What others say, and what calls show.
+    # Reports of the directory, and results of attempts.
 
     def note_listing(self, is_listed_draining: bool) -> None:
-        """Take in what the directory says."""
+        """Record whether the directory lists it as draining."""
         self.is_listed_draining = is_listed_draining
         self._update_available_at()
 
     def note_missing(self, resource: str) -> None:
-        """It said that it does not hold a model or an adapter; believed until the next push."""
+        """Record that it doesn't hold a model or an adapter, until the next directory update."""
         self.missing_resources.add(resource)
 
     def note_complete_response(self) -> None:
-        """An answer came whole: it can be reached, and breaks off no more."""
+        """Record a complete response: it is reachable and no longer failing."""
         self.failures = 0
         self.failure_pause_ends_at_s = float("-inf")
         self.note_reachable()
 
     def note_failure(self, now_s: float) -> None:
-        """It could not be reached, or broke an answer off.
+        """Record that it could not be reached or interrupted a response.
 
         >>> known = Availability()
         >>> known.note_failure(1.0), known.note_failure(1.0)
@@ -303,42 +312,42 @@
         self.failure_pause_ends_at_s = now_s + pause_s
 
     def note_unreachable(self) -> None:
-        """No connection could be made."""
+        """Record that no connection could be made."""
         self.is_unreachable = True
         self._update_available_at()
 
     def note_reachable(self) -> None:
-        """A connection could be made."""
+        """Record that a connection could be made."""
         self.is_unreachable = False
         self._update_available_at()
 
     def forget_call_results(self) -> None:
-        """Its record ends: what calls have shown ends with it, unlike what it said."""
+        """Drop the results of attempts as its record is removed; its own reports stay."""
         self.missing_resources.clear()
         self.is_listed_draining = False
         self.note_complete_response()
 
-    # The requests after a rest.
+    # Requests after a backoff.
 
     def has_capacity(self, in_flight: int, now_s: float) -> bool:
-        """Whether it may be sent one more request, as far as its last rest is concerned.
+        """Whether the bounds after its last backoff allow one more request.
 
         Args:
             in_flight: Own requests that it has.
-            now_s: Clock.
+            now_s: Current monotonic time.
         """
         if self.max_probes is not None and self.probes >= self.max_probes:
             return False
         if self.shed_backoff_s == 0.0:
             return True
-        most = self.max_in_flight(now_s)
-        # A part of a request lets a whole one go, but not before it was calm for as long as a rest:
-        # all gateways regain that part at the same time.
+        allowed = self.max_in_flight(now_s)
+        # A fraction of a request allows one more, but only after a calm time as long as the
+        # backoff: all gateways regain that fraction at the same time.
         is_early = now_s < self.backoff_ends_at_s + self.shed_backoff_s
-        return in_flight + 1.0 <= most if is_early else in_flight < most
+        return in_flight + 1.0 <= allowed if is_early else in_flight < allowed
 
     def max_in_flight(self, now_s: float) -> float:
-        """Return how many own requests it may have after a rest; infinite once that is long ago.
+        """Return how many own requests it may have after a backoff; infinite after full recovery.
 
         >>> known = Availability()
         >>> known.note_backoff(1.0, now_s=0.0, in_flight=11)
@@ -346,25 +355,25 @@
         >>> [known.max_in_flight(now_s) for now_s in (1.0, 6.0, 11.0, 15.0)]
         [5.0, 7.5, 10.0, inf]
         """
-        least = max(1.0, self.in_flight_at_shed * LOAD_SHARE_AFTER_SHED)
-        regained = max(1.0, self.in_flight_at_shed - least)
-        calm_rests = (now_s - self.backoff_ends_at_s) / self.shed_backoff_s
-        most = least + regained * calm_rests / RECOVERY_BACKOFFS
-        return float("inf") if most >= self.in_flight_at_shed + 1.0 else round(most, 6)
+        initial = max(1.0, self.in_flight_at_shed * LOAD_SHARE_AFTER_SHED)
+        regained = max(1.0, self.in_flight_at_shed - initial)
+        elapsed_backoffs = (now_s - self.backoff_ends_at_s) / self.shed_backoff_s
+        allowed = initial + regained * elapsed_backoffs / RECOVERY_BACKOFFS
+        return float("inf") if allowed >= self.in_flight_at_shed + 1.0 else round(allowed, 6)
 
     def begin_probe(self) -> bool:
-        """A sending begins; return whether it is counted, until `end_probe`."""
+        """Begin an attempt; return whether it is counted as a probe until `end_probe`."""
         if self.max_probes is None:
             return False
         self.probes += 1
         return True
 
     def end_probe(self) -> None:
-        """The head of the answer to a counted sending has come, or its end."""
+        """End a probe: its response head has come, or the attempt has ended."""
         self.probes -= 1
 
     def note_accepted(self, sent_s: float) -> None:
-        """It took in a request that was sent at a clock, in place of turning it away."""
+        """Record that it accepted a request sent at `sent_s` instead of rejecting it."""
         if self.max_probes is None or sent_s < self.backoff_ends_at_s:
             return
         self.max_probes = None if self.max_probes >= MAX_PROBES else self.max_probes * 2
