--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -220,7 +220,7 @@
             )
         limits = SelectionLimits(
             zone=context.zone,
-            connections=max(MIN_CONNECTIONS, share),
+            max_in_flight=max(MIN_CONNECTIONS, share),
             max_expected_ms=max_expected_ms,
             has_idle=context.pool.has_idle,
             latency_model=context.registry.latency_model(self._service),
--- a/src/crowsill/gateway/replica_registry.py
+++ b/src/crowsill/gateway/replica_registry.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of each replica, from the directory and from its own calls."""
+"""The replicas that this gateway knows, from the directory and from its own requests."""
 
 from collections import Counter, OrderedDict
 from dataclasses import dataclass, field
@@ -14,9 +14,9 @@
 from crowsill.routing.engine_latency import DecayingDelay, LatencyModel
 from crowsill.state.directory import DirectoryChange
 
-LOAD_LIFETIME_S = 1.5
-ERROR_WEIGHT = 0.1
-SLOWNESS_WEIGHT = 0.2
+REPORT_LIFETIME_S = 1.5
+ERROR_SMOOTHING = 0.1
+SLOWNESS_SMOOTHING = 0.2
 SLOWNESS_DECAY_S = 4.0
 MAX_REMEMBERED_PROMPT_PARTS = 2000
 MAX_FORMER_INCARNATIONS = 4000
@@ -28,24 +28,28 @@
 class ReplicaRecord:
     """One instance as this gateway sees it.
 
+    All times are on the monotonic clock, in seconds.
+
     Attributes:
-        instance: What the directory says, and draining if the replica itself said so.
-        listed_state: Its state by the directory alone.
+        instance: The instance as listed in the directory, but draining if the replica reported
+            that.
         availability: Whether it may be sent requests, and if not, why and until when.
-        in_flight: Own requests that it has not answered.
+        listed_state: Its state in the directory alone.
+        in_flight: Own requests without a complete response.
         pending_prompt_tokens: Prompt tokens of own streams before their first event.
-        reported_other_requests: Requests of other callers, by the last load it told.
-        load_reported_at_s: Clock of that.
-        peer_use: What other gateways have there, as they told it.
-        peer_use_reported_at_s: Clock of that.
-        error_share: Moving share of its answers that failed, or turned away and named no rest.
-        slowness: Moving ratio of its time to answer to what was expected.
-        slowness_updated_at_s: Clock of the last change of that.
-        delay: What requests at an engine take beyond the quickest time.
-        event_gap: Time between two events of streams that it runs.
-        unanswered_sent_at_s: When own streams without a first event were sent, by a key of each.
-        model_ready_at_s: Clock when each model that is on its way there should have come.
-        parts: Parts of prompts that it has read lately.
+        reported_other_requests: Requests of other callers, from the last load report.
+        load_reported_at_s: Time of that report.
+        peer_use: Requests of other gateways there, as they reported it.
+        peer_use_reported_at_s: Time of that report.
+        error_share: Moving average of the share of its responses that were failures, or rejections
+            without a backoff.
+        slowness: Moving average of the ratio of its response time to the expected one.
+        slowness_updated_at_s: Time of the last update of `slowness`.
+        delay: Time to the first event beyond that of an idle engine.
+        event_gap: Time between two events of the streams that it runs.
+        unanswered_sent_at_s: Times when own streams without a first event were sent, by stream.
+        model_ready_at_s: Times when the models that it is loading should be ready, by model.
+        parts: Parts of prompts that it has read lately, in order of last use.
     """
 
     instance: Instance
@@ -67,79 +71,80 @@
     parts: OrderedDict[PromptPartKey, None] = field(default_factory=OrderedDict)
 
     def __post_init__(self) -> None:
-        """Take in what the directory says."""
+        """Apply the state in the directory."""
         self.note_listing(self.instance)
 
     def note_draining(self, now_s: float) -> bool:
-        """Take in that it said that it leaves; return whether that is new."""
+        """Record that it reported that it drains; return whether that is new."""
         is_new = self.availability.note_draining(now_s)
         self.instance = self._with_reported_drain(self.instance)
         return is_new
 
     def note_listing(self, instance: Instance) -> None:
-        """Take in what the directory says of it."""
+        """Apply its entry in the directory."""
         self.listed_state = instance.state
         self.availability.note_listing(not instance.accepts_work)
         self.instance = self._with_reported_drain(instance)
 
     def _with_reported_drain(self, instance: Instance) -> Instance:
-        """A replica that said that it leaves does so, whatever its heartbeats still say."""
+        """Return the instance as draining if the replica reported that, even if heartbeats differ."""
         if not self.availability.has_reported_draining or not instance.accepts_work:
             return instance
         return msgspec.structs.replace(instance, state=InstanceState.DRAINING)
 
     def other_requests(self, now_s: float) -> float:
-        """Requests of other callers, as far as what was told is still worth anything."""
+        """Return the requests of other callers, weighted by the age of the report."""
         return self.reported_other_requests * _report_weight(self.load_reported_at_s, now_s)
 
     def peer_requests(self, now_s: float) -> float:
-        """Requests of other gateways there, as far as what they told is still worth anything."""
+        """Return the requests of other gateways there, weighted by the age of their report."""
         return self.peer_use.requests * _report_weight(self.peer_use_reported_at_s, now_s)
 
     def peer_prompt_tokens(self, now_s: float) -> float:
-        """Prompt tokens of theirs that it has not read, as far as that is worth anything."""
+        """Return their prompt tokens that it has not read, weighted by the age of their report."""
         return self.peer_use.prompt_tokens * _report_weight(self.peer_use_reported_at_s, now_s)
 
     def slowness_now(self, now_s: float) -> float:
-        """Its slowness, which is forgotten while nothing is sent to it."""
+        """Return its slowness, which decays to 1 while nothing is sent to it."""
         age = min(1.0, max(0.0, now_s - self.slowness_updated_at_s) / SLOWNESS_DECAY_S)
         return self.slowness + (1.0 - self.slowness) * age
 
     def note_load(self, load: ReplicaLoad, now_s: float) -> None:
-        """Take in the load that it told."""
-        # The answer that tells the load may still be counted in it, so one of our own is off.
+        """Record a load report of the replica."""
+        # The request whose response carries the report may be counted in it, so this may be off by
+        # one.
         self.reported_other_requests = max(0.0, load.running + load.waiting - self.in_flight)
         self.load_reported_at_s = now_s
 
     def note_peer_use(self, use: ReplicaUse, now_s: float) -> None:
-        """Take in what other gateways have there."""
+        """Record what other gateways have there."""
         self.peer_use = use
         self.peer_use_reported_at_s = now_s
 
     def note_success(self) -> None:
-        """An answer came whole."""
+        """Record a complete response."""
         self.availability.note_complete_response()
-        self.error_share *= 1.0 - ERROR_WEIGHT
+        self.error_share *= 1.0 - ERROR_SMOOTHING
 
     def note_error_response(self) -> None:
-        """It answered with a failure, or turned a request away and named no rest."""
-        self.error_share += (1.0 - self.error_share) * ERROR_WEIGHT
+        """Record a failure response, or a rejection without a backoff."""
+        self.error_share += (1.0 - self.error_share) * ERROR_SMOOTHING
 
     def note_failure(self, now_s: float) -> None:
-        """It could not be reached, or broke an answer off."""
+        """Record that it could not be reached or interrupted a response."""
         self.note_error_response()
         self.availability.note_failure(now_s)
 
     def note_response_time(self, taken_s: float, expected_s: float, now_s: float) -> None:
-        """Compare the time of an answer, or of a first event, with what was expected."""
+        """Compare the time to a response, or to a first event, with the expected one."""
         self.delay.observe((taken_s - expected_s) * 1000.0, now_s)
         ratio = min(20.0, max(0.2, taken_s / max(expected_s, 0.001)))
         self.slowness = self.slowness_now(now_s)
-        self.slowness += (ratio - self.slowness) * SLOWNESS_WEIGHT
+        self.slowness += (ratio - self.slowness) * SLOWNESS_SMOOTHING
         self.slowness_updated_at_s = now_s
 
     def note_event_gap(self, gap_s: float, now_s: float) -> None:
-        """Take in the time between two events of a stream that it runs."""
+        """Record the time between two events of a stream that it runs."""
         self.event_gap.observe(gap_s * 1000.0, now_s)
 
     def oldest_unanswered_ms(self, now_s: float) -> float:
@@ -147,32 +152,35 @@
         return (now_s - min(self.unanswered_sent_at_s.values(), default=now_s)) * 1000.0
 
     def note_loading_models(self, now_s: float) -> None:
-        """Take in what is on its way; the first word on a load tells when it began."""
+        """Record the models that it is loading.
+
+        The first report of a load sets its expected end.
+        """
         self.model_ready_at_s = {
             model.name: self.model_ready_at_s.get(model.name, now_s + model.load_s)
             for model in self.instance.loading
         }
 
     def remember_part(self, key: PromptPartKey) -> None:
-        """It has read this part of a prompt."""
+        """Record that it has read a part of a prompt."""
         self.parts[key] = None
         self.parts.move_to_end(key)
         if len(self.parts) > MAX_REMEMBERED_PROMPT_PARTS:
             self.parts.popitem(last=False)
 
 
-def _report_weight(told_s: float, now_s: float) -> float:
-    """Return what is left of the worth of a load that was told, from 1 down to 0."""
-    return max(0.0, 1.0 - (now_s - told_s) / LOAD_LIFETIME_S)
+def _report_weight(reported_at_s: float, now_s: float) -> float:
+    """Return the weight of a report by its age, from 1 down to 0."""
+    return max(0.0, 1.0 - (now_s - reported_at_s) / REPORT_LIFETIME_S)
 
 
 class ReplicaRegistry:
     """All instances that this gateway knows.
 
     Attributes:
-        version: Version of the directory that was taken in last.
-        waiting_to_open: Requests here that wait for a replica to open, by the replica and whether
-            they are urgent.
+        version: Version of the last directory update that was applied.
+        waiting_to_open: Number of requests here that wait for a replica to open, by the replica and
+            whether they are urgent.
     """
 
     def __init__(self) -> None:
@@ -181,7 +189,7 @@
         self._records: dict[str, ReplicaRecord] = {}
         self._by_service: dict[str, list[ReplicaRecord]] = {}
         self._latency_models: dict[str, LatencyModel] = {}
-        # What lives said that have no record at present: the same life may be listed again.
+        # Reported state of incarnations without a record: the same incarnation may be listed again.
         self._former_availability: OrderedDict[str, Availability] = OrderedDict()
 
     def of_service(self, service: str) -> list[ReplicaRecord]:
@@ -203,23 +211,23 @@
         ]
 
     def limit_reports(self, now_s: float) -> list[LimitReport]:
-        """Return the limits that bind, those named last first; `MAX_REPORTED_LIMITS` at most."""
-        words = [
+        """Return the limits in effect, last advertised first; at most `MAX_REPORTED_LIMITS`."""
+        reports = [
             record.availability.limit.to_report(instance_id, now_s)
             for instance_id, record in self._records.items()
             if record.availability.limit.is_in_effect(now_s)
         ]
-        return sorted(words, key=lambda word: word.advertised_ago_s)[:MAX_REPORTED_LIMITS]
+        return sorted(reports, key=lambda report: report.advertised_ago_s)[:MAX_REPORTED_LIMITS]
 
-    def note_limit_reports(self, words: list[LimitReport], now_s: float) -> None:
-        """Take in what the group knows of limits."""
-        for word in words:
-            record = self._records.get(word.instance_id)
+    def note_limit_reports(self, reports: list[LimitReport], now_s: float) -> None:
+        """Merge the limits that the control group knows."""
+        for report in reports:
+            record = self._records.get(report.instance_id)
             if record is not None:
-                record.availability.limit.merge(word, now_s)
+                record.availability.limit.merge(report, now_s)
 
     def in_use(self) -> UseByReplica:
-        """Return what this gateway has at replicas."""
+        """Return what this gateway has in flight, by replica."""
         return {
             instance_id: ReplicaUse(record.in_flight, record.pending_prompt_tokens)
             for instance_id, record in self._records.items()
@@ -227,12 +235,12 @@
         }
 
     def note_total_use(self, total: UseByReplica, own: UseByReplica, now_s: float) -> None:
-        """Take in what all gateways have at replicas.
+        """Record what all gateways together have in flight.
 
         Args:
-            total: What all have, this one included.
-            own: What this one had when it told the others.
-            now_s: Clock.
+            total: Use by all gateways, including this one.
+            own: Use by this gateway when it sent its last report.
+            now_s: Current monotonic time.
         """
         for instance_id, record in self._records.items():
             use, mine = total.get(instance_id, NO_USE), own.get(instance_id, NO_USE)
@@ -243,20 +251,20 @@
             record.note_peer_use(others, now_s)
 
     def latency_model(self, service: str) -> LatencyModel:
-        """Return what is known of how fast the engines of a service are."""
+        """Return the latency model of the engines of a service."""
         return self._latency_models.setdefault(service, LatencyModel())
 
     def find(self, instance_id: str) -> ReplicaRecord | None:
-        """Return an instance, or None."""
+        """Return the record of an instance, or None."""
         return self._records.get(instance_id)
 
     def adopt(self, change: DirectoryChange, is_full: bool, now_s: float) -> list[str]:
-        """Take in a change of the directory; return the ids that get no more work.
+        """Apply a directory update; return the ids of instances that accept no more work.
 
         Args:
-            change: The change.
-            is_full: Whether it holds everything, so that what it lacks is gone.
-            now_s: Clock.
+            change: The update.
+            is_full: Whether it is a full snapshot, so that instances not in it are removed.
+            now_s: Current monotonic time.
         """
         if change.version < self.version or (change.version == self.version and not is_full):
             return []
@@ -264,12 +272,12 @@
         removed = set(change.removed)
         if is_full:
             removed |= set(self._records) - {item.instance_id for item in change.changed}
-        ended = [instance_id for instance_id in removed if self._remove(instance_id)]
+        closed_ids = [instance_id for instance_id in removed if self._remove(instance_id)]
         for instance in change.changed:
             if self._put(instance, now_s):
-                ended.append(instance.instance_id)
+                closed_ids.append(instance.instance_id)
         self._index()
-        return ended
+        return closed_ids
 
     def _remove(self, instance_id: str) -> bool:
         record = self._records.pop(instance_id, None)
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -1,11 +1,11 @@
-"""Chooses the replica of a request: a pure decision over what the gateway knows.
-
-It answers the load of hundreds of gateways, each of which has a request at a replica now and then.
-By its own requests a gateway knows nothing of most replicas, so that it weighs what the others have
-there, too. That is told twice a second: if all followed it to the least loaded replica, they would
-swamp it until they are told again. So what others have only decides between two replicas: the
-nearest one by the gateway's own knowledge, and another one drawn at random (Mitzenmacher, "How
-useful is old information?", 2000). Replicas that look equal are chosen by chance.
+"""Chooses the replica for a request from what the gateway knows. Pure.
+
+Among hundreds of gateways, each one sends a request to a given replica only now and then. Its own
+requests say nothing about most replicas, so a gateway also weighs the requests of the others. Those
+are reported twice a second: if all gateways followed a report to the least loaded replica, they
+would overload it before the next report. So what others have in flight only decides between two
+replicas: the one that is preferred by the gateway's own knowledge, and another one drawn at random
+(Mitzenmacher, "How useful is old information?", 2000). Ties are broken at random.
 """
 
 from collections.abc import Callable
@@ -18,37 +18,37 @@
 from crowsill.model.routes import ModelWeights
 from crowsill.routing.engine_latency import LatencyModel
 
-# A plain service works on `slots` at once; until its times are learnt each takes this long.
-SERVICE_MS = 20.0
-# Another site costs more than its delay: its bytes are paid for.
-OTHER_ZONE_MS = 8.0
-# What each request of another gateway at an engine adds to the time to a first event: about half a
-# step of the batch.
+# Initial estimate of a plain service's time for one request; it works on `slots` of them at once.
+DEFAULT_SERVICE_MS = 20.0
+# Cross-zone traffic is paid for, so the penalty is higher than its network delay.
+OTHER_ZONE_PENALTY_MS = 8.0
+# Added to the time to a first event for each request of another gateway at an engine: about half a
+# batch step.
 PEER_REQUEST_MS = 5.0
-# A rival must be better by the time of one more request, at an engine of one more prompt: queues
-# change by as much until gateways are told again, and each move to another replica costs a
-# connection or another zone.
+# An alternative must be better by the time of one more request, or one more prompt at an engine.
+# Queues change by as much between two reports, and each move to another replica costs a connection
+# or crosses zones.
 ENGINE_MARGIN_MS = 100.0
-SERVICE_MARGIN_MS = SERVICE_MS
-# A new connection takes two round trips and may hold a slot of the replica for a moment; replicas
-# take few of them.
-NEW_CONNECTION_MS = 20.0
-# A pause between events counts as much as the same time before the first one: either can make a
-# stream late, and an engine whose streams pause has little time left.
-PAUSE_WEIGHT = 1.0
+SERVICE_MARGIN_MS = DEFAULT_SERVICE_MS
+# A new connection takes two round trips and may occupy a slot of the replica for a moment; replicas
+# accept few of them.
+NEW_CONNECTION_PENALTY_MS = 20.0
+# A gap between events counts as much as the same time before the first one: both can make a stream
+# late, and an engine whose streams have gaps has little capacity left.
+EVENT_GAP_WEIGHT = 1.0
 ERROR_PENALTY = 4.0
-USUAL_ERROR_SHARE = 0.2
+TOLERATED_ERROR_SHARE = 0.2
 
 
 class NoReplicaReason(StrEnum):
     """Why no replica can take a request now.
 
     Attributes:
-        NO_REPLICA: The service has none that takes work.
-        NO_MODEL: None holds what the request needs.
-        ALL_FULL: Those that could run it have as much as this gateway may give them.
-        ALL_CLOSED: Those that could run it asked for rest, or had all that their limits allow.
-        ALL_TRIED: Those that could run it have had it.
+        NO_REPLICA: The service has none that accepts work.
+        NO_MODEL: None holds the model or adapter of the request.
+        ALL_FULL: Those that could run it have as many requests as this gateway may send them.
+        ALL_CLOSED: Those that could run it are backing off or have reached their rate limits.
+        ALL_TRIED: The request has been sent to all that could run it.
     """
 
     NO_REPLICA = "no_replica"
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A replica and why it was chosen.
+    """The chosen replica and the expectations behind the choice.
 
     Attributes:
         record: The replica.
-        expected_ms: Expected time to its first event, or to its answer.
+        expected_ms: Expected time to its first event, or to its response.
         known_tokens: Tokens of the prompt that it has read lately.
-        candidates: Number of replicas weighed.
+        candidates: Number of replicas that were compared.
     """
 
     record: ReplicaRecord
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """What is expected of a request at one replica.
+    """The expected outcome of a request at one replica.
 
     Attributes:
         record: The replica.
-        expected_ms: Time to its first event, or to its answer.
+        expected_ms: Time to its first event, or to its response.
         known_tokens: Tokens of the prompt that it has read lately.
     """
 
@@ -90,26 +90,26 @@
     known_tokens: int
 
     def score_ms(self, now_s: float) -> float:
-        """Return the expected time with the pauses between events that follow it."""
-        return self.expected_ms + PAUSE_WEIGHT * self.record.event_gap.current_ms(now_s)
+        """Return the expected time plus the weighted gap between the events that follow."""
+        return self.expected_ms + EVENT_GAP_WEIGHT * self.record.event_gap.current_ms(now_s)
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionLimits:
-    """What bounds a choice.
+    """Bounds and inputs of a choice.
 
     Attributes:
-        zone: Site of this gateway.
-        connections: Requests that this gateway may have at one replica.
+        zone: Zone of this gateway.
+        max_in_flight: Requests that this gateway may have at one replica.
         max_expected_ms: A request that is expected to take longer is not sent.
-        has_idle: Whether a connection to an instance is open and free.
-        latency_model: How fast the engines of the service are.
-        random: Source of chance among replicas that look equal.
+        has_idle: Returns whether an idle connection to an instance is open.
+        latency_model: Latency model of the engines of the service.
+        random: Random source for ties and for the alternative replica.
         is_urgent: Whether the request cannot wait.
     """
 
     zone: str
-    connections: int
+    max_in_flight: int
     max_expected_ms: float = float("inf")
     has_idle: Callable[[str], bool] = lambda _instance_id: True
     latency_model: LatencyModel = field(default_factory=LatencyModel)
@@ -118,12 +118,12 @@
 
 
 def part_keys(request: CallerRequest) -> list[PromptPartKey]:
-    """Return the keys under which parts of a prompt are remembered."""
+    """Return the keys under which the parts of a prompt are remembered."""
     return [(request.model, request.adapter, part.part_id) for part in request.parts]
 
 
 def known_tokens(record: ReplicaRecord, request: CallerRequest) -> int:
-    """Tokens at the start of the prompt that the replica has read lately."""
+    """Return the tokens at the start of the prompt that the replica has read lately."""
     tokens = 0
     for part, key in zip(request.parts, part_keys(request), strict=True):
         if key not in record.parts:
@@ -135,23 +135,23 @@
 def own_estimate(
     record: ReplicaRecord, request: CallerRequest, limits: SelectionLimits, now_s: float
 ) -> Estimate:
-    """Estimate the time at a replica by what this gateway has learnt and has there itself."""
+    """Estimate the time at a replica from this gateway's own observations and requests."""
     known = known_tokens(record, request) if request.model else 0
     if request.model:
         total_ms = first_event_ms(record, request, known, limits, now_s)
     else:
-        total_ms = answer_ms(record, record.other_requests(now_s), now_s)
+        total_ms = response_ms(record, record.other_requests(now_s), now_s)
     return Estimate(record, _weighted_ms(record, limits, total_ms), known)
 
 
 def full_estimate(
     own: Estimate, request: CallerRequest, limits: SelectionLimits, now_s: float
 ) -> Estimate:
-    """Estimate the time at a replica by what all gateways have there."""
+    """Estimate the time at a replica from the requests of all gateways there."""
     record = own.record
     if not request.model:
         others = max(record.other_requests(now_s), record.peer_requests(now_s))
-        total_ms = answer_ms(record, others, now_s)
+        total_ms = response_ms(record, others, now_s)
         return Estimate(record, _weighted_ms(record, limits, total_ms), own.known_tokens)
     unread = record.peer_prompt_tokens(now_s)
     queued_ms = limits.latency_model.prefill_ms(request.model, int(unread))
@@ -160,13 +160,13 @@
 
 
 def _weighted_ms(record: ReplicaRecord, limits: SelectionLimits, total_ms: float) -> float:
-    """Add what a failure, another zone and a new connection cost to the time of an answer."""
-    surplus = max(0.0, record.error_share - USUAL_ERROR_SHARE)
-    total_ms *= 1.0 + ERROR_PENALTY * surplus
+    """Add the penalties for failures, another zone and a new connection to a response time."""
+    excess_error_share = max(0.0, record.error_share - TOLERATED_ERROR_SHARE)
+    total_ms *= 1.0 + ERROR_PENALTY * excess_error_share
     if record.instance.zone != limits.zone:
-        total_ms += OTHER_ZONE_MS
+        total_ms += OTHER_ZONE_PENALTY_MS
     if not limits.has_idle(record.instance.instance_id):
-        total_ms += NEW_CONNECTION_MS
+        total_ms += NEW_CONNECTION_PENALTY_MS
     return total_ms
 
 
@@ -179,41 +179,41 @@
 ) -> float:
     """Return the expected time to the first event at an engine that has read `known` tokens."""
     unread = max(0, request.prompt_tokens - known)
-    quickest_ms = limits.latency_model.idle_first_event_ms(request.model, unread)
+    idle_ms = limits.latency_model.idle_first_event_ms(request.model, unread)
     waiting_ms = limits.latency_model.prefill_ms(request.model, record.pending_prompt_tokens)
     waiting_ms += record.delay.current_ms(now_s)
-    return quickest_ms + max(waiting_ms, record.oldest_unanswered_ms(now_s))
+    return idle_ms + max(waiting_ms, record.oldest_unanswered_ms(now_s))
 
 
-def answer_ms(record: ReplicaRecord, others: float, now_s: float) -> float:
-    """Return the expected time to the answer of a plain service, with so many others' requests."""
+def response_ms(record: ReplicaRecord, others: float, now_s: float) -> float:
+    """Return the expected response time of a plain service with `others` requests of others."""
     requests = record.in_flight + others
     slots = max(1, record.instance.slots)
-    base_ms = SERVICE_MS * max(1.0, (requests + 1.0) / slots) + requests
+    base_ms = DEFAULT_SERVICE_MS * max(1.0, (requests + 1.0) / slots) + requests
     return base_ms * record.slowness_now(now_s)
 
 
 def accepts(record: ReplicaRecord) -> bool:
-    """Whether new requests may be sent to a replica."""
+    """Whether new requests may be sent to a replica, now or after a known time."""
     return not record.availability.is_closed_indefinitely
 
 
 def first_to_open(
     records: list[ReplicaRecord], request: CallerRequest, now_s: float, is_urgent: bool = True
 ) -> ReplicaRecord | None:
-    """Return the replica that opens first, of those that could run a request and are closed."""
+    """Return the closed replica that could run a request and opens first, or None."""
     closed = [
         record
         for record in records
         if now_s < record.availability.opens_at_s(is_urgent)
         and accepts(record)
-        and holds(record, request)
+        and has_resources(record, request)
     ]
     return min(closed, key=lambda record: record.availability.opens_at_s(is_urgent), default=None)
 
 
 def min_load_s(model: ModelWeights, records: list[ReplicaRecord]) -> float:
-    """Return how long a load of a model takes at the engine that has its copy nearest."""
+    """Return the load time of a model at the engine that has the closest copy of it."""
     times = [model.load_s]
     for record in records:
         if not accepts(record):
@@ -228,12 +228,12 @@
 def _no_replica_reason(
     records: list[ReplicaRecord], request: CallerRequest, tried: set[str]
 ) -> NoReplicaReason:
-    """Return why no replica may be sent the request now, apart from how much each has."""
+    """Return why no replica may be sent the request, regardless of their in-flight requests."""
     accepting = [record for record in records if accepts(record)]
-    holding = [record for record in accepting if holds(record, request)]
-    if not holding:
+    with_resources = [record for record in accepting if has_resources(record, request)]
+    if not with_resources:
         return NoReplicaReason.NO_MODEL if accepting else NoReplicaReason.NO_REPLICA
-    is_tried = all(record.instance.instance_id in tried for record in holding)
+    is_tried = all(record.instance.instance_id in tried for record in with_resources)
     return NoReplicaReason.ALL_TRIED if is_tried else NoReplicaReason.ALL_CLOSED
 
 
@@ -245,55 +245,59 @@
     now_s: float,
 ) -> list[ReplicaRecord] | NoReplicaReason:
     """Return the replicas that may be sent the request now, or why there is none."""
-    # Attributes in place of methods: this is asked of every replica for every request.
-    free = [
+    # Reads attributes instead of calling methods: this runs for every replica and request.
+    open_replicas = [
         record
         for record in records
         if record.availability.available_at_s <= now_s
         and record.instance.instance_id not in tried
-        and holds(record, request)
+        and has_resources(record, request)
     ]
     if not limits.is_urgent:
-        free = [record for record in free if record.availability.non_urgent_opens_at_s <= now_s]
-    if not free:
+        open_replicas = [
+            record for record in open_replicas if record.availability.non_urgent_opens_at_s <= now_s
+        ]
+    if not open_replicas:
         return _no_replica_reason(records, request, tried)
-    most = limits.connections
-    roomy = [
+    max_in_flight = limits.max_in_flight
+    with_capacity = [
         record
-        for record in free
-        if record.in_flight < most
+        for record in open_replicas
+        if record.in_flight < max_in_flight
         and (
             not record.availability.has_backed_off
             or record.availability.has_capacity(record.in_flight, now_s)
         )
     ]
-    return roomy or NoReplicaReason.ALL_FULL
+    return with_capacity or NoReplicaReason.ALL_FULL
 
 
 def _lowest_score(estimates: list[Estimate], random: Random, now_s: float) -> Estimate:
-    """Return the estimate with the least score; chance decides among equal ones."""
+    """Return the estimate with the lowest score; ties are broken at random."""
     scores = [estimate.score_ms(now_s) for estimate in estimates]
-    least = min(scores)
-    nearest = [item for item, score in zip(estimates, scores, strict=True) if score == least]
-    return nearest[0] if len(nearest) == 1 else random.choice(nearest)
+    minimum_ms = min(scores)
+    preferred = [item for item, score in zip(estimates, scores, strict=True) if score == minimum_ms]
+    return preferred[0] if len(preferred) == 1 else random.choice(preferred)
 
 
 def _best(
     records: list[ReplicaRecord], request: CallerRequest, limits: SelectionLimits, now_s: float
 ) -> Choice:
-    """Return the better one of two replicas, with what all gateways have there."""
-    own = [own_estimate(record, request, limits, now_s) for record in records]
-    nearest = _lowest_score(own, limits.random, now_s)
-    best = full_estimate(nearest, request, limits, now_s)
-    if len(own) > 1:
-        rival = limits.random.choice([item for item in own if item is not nearest])
-        rival = full_estimate(rival, request, limits, now_s)
+    """Return the better of two replicas by the requests of all gateways there."""
+    own_estimates = [own_estimate(record, request, limits, now_s) for record in records]
+    preferred = _lowest_score(own_estimates, limits.random, now_s)
+    best = full_estimate(preferred, request, limits, now_s)
+    if len(own_estimates) > 1:
+        alternative = limits.random.choice(
+            [item for item in own_estimates if item is not preferred]
+        )
+        alternative = full_estimate(alternative, request, limits, now_s)
         margin_ms = ENGINE_MARGIN_MS if request.model else SERVICE_MARGIN_MS
-        if rival.score_ms(now_s) + margin_ms < best.score_ms(now_s):
-            best = rival
+        if alternative.score_ms(now_s) + margin_ms < best.score_ms(now_s):
+            best = alternative
     if best.expected_ms > limits.max_expected_ms:
-        # Before the request is turned away, each replica is looked at.
-        full_estimates = [full_estimate(item, request, limits, now_s) for item in own]
+        # Compare all replicas before the request is rejected.
+        full_estimates = [full_estimate(item, request, limits, now_s) for item in own_estimates]
         best = _lowest_score(full_estimates, limits.random, now_s)
     return Choice(best.record, best.expected_ms, best.known_tokens, len(records))
 
@@ -305,32 +309,34 @@
     limits: SelectionLimits,
     now_s: float,
 ) -> Choice | NoReplicaReason:
-    """Choose the replica with the least expected time to the first event and between events.
+    """Choose the replica with the lowest expected time to the first event and between events.
 
     Args:
         records: Instances of the service.
         request: The request.
-        tried: Ids of instances that have had it already.
-        limits: What bounds the choice.
-        now_s: Clock.
+        tried: Ids of instances that it was sent to already.
+        limits: Bounds and inputs of the choice.
+        now_s: Current monotonic time.
     """
     candidates = _candidates(records, request, tried, limits, now_s)
     if isinstance(candidates, NoReplicaReason):
         return candidates
-    sound = [
+    not_failing = [
         record for record in candidates if record.availability.failure_pause_ends_at_s <= now_s
     ]
-    if not sound:
-        # Nothing else is left: the one whose pause ends first.
-        sound = [min(candidates, key=lambda record: record.availability.failure_pause_ends_at_s)]
-    best = _best(sound, request, limits, now_s)
+    if not not_failing:
+        # No other is left: take the one whose failure pause ends first.
+        not_failing = [
+            min(candidates, key=lambda record: record.availability.failure_pause_ends_at_s)
+        ]
+    best = _best(not_failing, request, limits, now_s)
     if best.expected_ms > limits.max_expected_ms:
         return NoReplicaReason.ALL_FULL
     return best
 
 
-def holds(record: ReplicaRecord, request: CallerRequest) -> bool:
-    """Whether a replica has what a request needs, as far as is known."""
+def has_resources(record: ReplicaRecord, request: CallerRequest) -> bool:
+    """Whether a replica is known to hold the model and adapter of a request."""
     if not request.model:
         return True
     missing_resources = record.availability.missing_resources
--- a/src/crowsill/gateway/wait_estimates.py
+++ b/src/crowsill/gateway/wait_estimates.py
@@ -1,4 +1,4 @@
-"""When a replica may take a request that none takes now, from what the gateway knows. Pure."""
+"""Estimates when a replica may take a request that none takes now. Pure."""
 
 from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
@@ -6,31 +6,34 @@
 from crowsill.gateway.wait_decision import WaitEstimate
 from crowsill.model.routes import ModelWeights
 
-# Time within which the control group looks at what is asked for, and tells gateways if it loads it.
+# Time within which the control group considers reported demand and tells gateways if it loads the
+# model.
 PLACEMENT_DECISION_S = 0.5
-# Chances fall to a half within such a time. A load that is asked for is often decided on only when
-# requests have waited for a while, so that rare models must be asked for for some seconds.
+# Time in which a probability falls to a half. Placement often decides on a requested load only
+# after requests have waited for a while, so demand for a rare model must be reported for some
+# seconds.
 REQUESTED_LOAD_HALVING_S = 4.0
-# Time that an order takes beside the load.
+# Time that a load order takes in addition to the load itself.
 ORDER_OVERHEAD_S = 0.2
-# A load that is overdue by some time may take as long again.
+# A load that is overdue by some time may take that time again, and at least this long.
 MIN_OVERDUE_WAIT_S = 0.2
-# Median time in which an adapter comes.
+# Median time until a missing adapter is loaded.
 MEDIAN_ADAPTER_LOAD_S = 0.45
 ADAPTER_LOAD_HALVING_S = 1.0
-# Time in which a place comes free.
+# Time until a full replica has capacity again.
 CAPACITY_WAIT_S = 0.3
 CAPACITY_HALVING_S = 1.0
 NO_REPLICA_WAIT_S = 0.5
-# Shares of the requests that wait and are sent in the end, by why they wait.
+# Shares of waiting requests that are sent in the end, by the reason why they wait.
 REQUESTED_LOAD_PROBABILITY = 0.35
 ADAPTER_LOAD_PROBABILITY = 0.42
 CAPACITY_PROBABILITY = 0.72
-# Loads under way that end well, and services without any replica that have one again soon.
+# Probability that a load in progress succeeds, and that a service without replicas has one again
+# soon.
 LOADING_PROBABILITY = 0.9
 NO_REPLICA_PROBABILITY = 0.3
-# A replica takes one request first after its rest, and may ask for rest again; what a limit allows
-# may go to other gateways.
+# After a backoff a replica accepts one request first and may ask for another backoff; what a rate
+# limit allows may go to other gateways.
 REOPENED_PROBABILITY = 0.5
 
 
@@ -50,9 +53,9 @@
         reason: Why none does now.
         request: The request.
         records: Instances of its service.
-        weights: The model that it needs, if the routes know it.
+        weights: The model that it needs, or None if the routes don't define it.
         waited_s: Time since its arrival.
-        now_s: Clock.
+        now_s: Current monotonic time.
         is_urgent: Whether the request cannot wait.
     """
     if reason is NoReplicaReason.NO_REPLICA:
@@ -80,10 +83,10 @@
     waited_s: float,
     now_s: float,
 ) -> WaitEstimate:
-    """When a replica may hold what the request needs."""
+    """Return when a replica may hold the model and adapter of the request."""
     accepting = [record for record in records if accepts(record)]
     if any(record.instance.serves(request.model) for record in accepting):
-        # Only its adapter is missing.
+        # Only the adapter is missing.
         return _decaying_estimate(
             MEDIAN_ADAPTER_LOAD_S,
             ADAPTER_LOAD_PROBABILITY,
@@ -108,7 +111,7 @@
 
 
 def _until_open(record: ReplicaRecord | None, now_s: float, is_urgent: bool) -> WaitEstimate:
-    """When a rest is over, or a request granted, is known exactly; not whether others are first."""
+    """Return when a replica opens: the time is exact, but other requests may come first."""
     closed_s = 0.0 if record is None else record.availability.opens_at_s(is_urgent) - now_s
     return WaitEstimate(closed_s, REOPENED_PROBABILITY, closed_s)
 
@@ -124,7 +127,7 @@
 def _decaying_estimate(
     ready_s: float, probability: float, known_after_s: float, halving_s: float, waited_s: float
 ) -> WaitEstimate:
-    """Return an estimate whose chance falls while what is hoped for does not come.
+    """Return an estimate whose probability falls with the time waited.
 
     >>> _decaying_estimate(2.0, 0.4, 0.5, 4.0, 0.0).probability
     0.4
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -1,7 +1,7 @@
-"""What becomes of one request while no replica takes it: it waits, or comes back later.
+"""Lets a request wait while no replica can take it, or rejects it with a time to retry.
 
-The decision is that of `wait_decision`, by the estimates of `wait_estimates`; this module has the
-request wait, and tells placement what it waits for.
+`wait_decision` decides, based on `wait_estimates`; this module does the waiting and reports demand
+to placement.
 """
 
 import asyncio
@@ -28,19 +28,18 @@
 
 CAPACITY_POLL_S = 0.1
 DEMAND_REPEAT_S = 0.3
-# A process that stops sends callers on: another gateway has the same routes.
+# A process that stops sends callers elsewhere at once: another gateway has the same routes.
 STOPPING_RETRY_AFTER_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedRequest:
-    """A request that is given up because no replica takes it.
+    """A request that is rejected because no replica can take it.
 
     Attributes:
-        reason: What was in the way last.
-        retry_after_s: When the caller should come back.
-        detail: What closes the replica that opens first, and for how long; for the reader of the
-            refusal.
+        reason: Why none could, at last.
+        retry_after_s: Time after which the caller should retry.
+        detail: What closes the replica that opens first, and for how long; for the error message.
     """
 
     reason: NoReplicaReason
@@ -49,7 +48,7 @@
 
 
 class WaitingRequest:
-    """One request, as far as it waits for a replica."""
+    """The waits of one request for a replica."""
 
     def __init__(
         self,
@@ -68,7 +67,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def wait(self, reason: NoReplicaReason) -> bool:
-        """Wait for something to change; return False when it is time to give up."""
+        """Wait for something to change; return False when the request must be rejected."""
         if reason is NoReplicaReason.ALL_TRIED:
             return False
         request = self._request
@@ -85,7 +84,7 @@
         if self._progress.waiting_reason is not reason:
             self._progress.waiting_reason = reason
             self._log.log_waiting(reason, self._context.registry.version)
-        # The control group forgets what is not asked for again.
+        # The control group forgets demand that is not reported again.
         poll_s = CAPACITY_POLL_S if reason is NoReplicaReason.ALL_FULL else DEMAND_REPEAT_S
         if reason is NoReplicaReason.ALL_CLOSED:
             return await self._wait_to_open(min(remaining_s, poll_s))
@@ -93,10 +92,10 @@
         return True
 
     async def _wait_to_open(self, time_s: float) -> bool:
-        """Wait for a while; return False at once where enough others wait for the same replica.
+        """Wait for some time; return False at once if enough others wait for the same replica.
 
-        Who waits for another replica of the service keeps nobody from it. Nothing is awaited
-        between two waits of one request, so that it keeps its place.
+        Requests that wait for other replicas of the service don't count. Nothing is awaited between
+        two waits of one request, so that it keeps its position.
         """
         blocking = self._first_to_open()
         if blocking is None:
@@ -115,12 +114,12 @@
         return True
 
     def _first_to_open(self) -> ReplicaRecord | None:
-        """Return the replica that opens first, of those that could run the request."""
+        """Return the closed replica that could run the request and opens first, or None."""
         records = self._context.registry.of_service(self._log.service)
         return first_to_open(records, self._request, self._loop.time(), self._is_urgent)
 
     def _is_limited(self, reason: NoReplicaReason) -> bool:
-        """Whether the request waits for what the limit of a replica allows."""
+        """Whether the request waits for the rate limit of a replica."""
         record = self._first_to_open() if reason is NoReplicaReason.ALL_CLOSED else None
         if record is None:
             return False
@@ -128,7 +127,7 @@
         return closed is not None and closed.reason is ExclusionReason.RATE_LIMITED
 
     def give_up(self, reason: NoReplicaReason, rank: int) -> RejectedRequest:
-        """Decide when a request that is given up should come back.
+        """Return the rejection of the request, with a time to retry.
 
         Args:
             reason: Why no replica takes it.
@@ -143,7 +142,7 @@
         spread = self._context.random.random()
         retry_after_s = retry_delay_s(estimate, budget, rank, spread)
         if self._context.is_stopping():
-            # Another gateway can wait for what this one has no time for.
+            # Another gateway can wait longer than this one.
             retry_after_s = STOPPING_RETRY_AFTER_S
         elif reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
             request = self._request
@@ -156,7 +155,7 @@
         return wait_budget(route, request.wait_ms, waited_s)
 
     def _estimate(self, reason: NoReplicaReason) -> WaitEstimate:
-        """When a replica may take the request."""
+        """Estimate when a replica may take the request."""
         request, now_s = self._request, self._loop.time()
         records = self._context.registry.of_service(self._log.service)
         waited_s = now_s - request.arrived_at_s
@@ -171,19 +170,21 @@
         )
 
     def _closed_detail(self) -> str:
-        """Name the replica that opens first, of those that could run the request, and why."""
+        """Describe the closed replica that could run the request and opens first."""
         record = self._first_to_open()
         if record is None:
             return ""
-        what = "asked for rest"
+        cause = "asked for rest"
         if self._is_limited(NoReplicaReason.ALL_CLOSED):
-            what = "has had all that its limit allows"
+            cause = "has had all that its limit allows"
         remaining_s = record.availability.opens_at_s(self._is_urgent) - self._loop.time()
         instance_id = record.instance.instance_id
-        return f"every replica that could run it {what}: {instance_id} for {remaining_s:.2f} s more"
+        return (
+            f"every replica that could run it {cause}: {instance_id} for {remaining_s:.2f} s more"
+        )
 
     def _weights(self) -> ModelWeights | None:
-        """The model that the request needs, if the routes know it."""
+        """Return the model that the request needs, or None if the routes don't define it."""
         table = self._context.table
         service = None if table is None else table.services.get(self._log.service)
         if service is None or service.engine is None:
@@ -191,7 +192,7 @@
         return service.engine.model(self._request.model)
 
     def _response_s(self) -> float:
-        """Time from sending the request to its first event at an idle engine."""
+        """Return the time from sending the request to its first event at an idle engine."""
         request = self._request
         if not request.model:
             return 0.0
