--- a/src/crowsill/gateway/admission.py
+++ b/src/crowsill/gateway/admission.py
@@ -1,4 +1,4 @@
-"""The first decision on a request: whose it is, and whether the tenant's rate has room for it."""
+"""Admits a request: identifies its tenant and charges the tenant's rate."""
 
 import asyncio
 
@@ -13,15 +13,15 @@
 from crowsill.model.tenants import Tenant
 from crowsill.tenancy.identity import IdentityFailure, Principal
 
-# A gateway that has just thawed, or whose member was lost, is told what is current within such a
-# time: one reply to a heartbeat (0.8 s at most), or a new stream.
+# A gateway that resumes after a freeze, or whose member was lost, regains current state within this
+# time: by one reply to a heartbeat (0.8 s at most), or by a new stream.
 MAX_FRESHNESS_WAIT_S = 0.8
 POLL_S = 0.1
 STALE_RETRY_AFTER_S = 0.5
 _UNKNOWN_KEY = Rejection(ErrorKind.UNAUTHENTICATED, "a known key is required")
 _STALE = Rejection(
     ErrorKind.NOT_READY,
-    "this gateway cannot prove that it knows the keys in force",
+    "this gateway cannot prove that its keys are current",
     STALE_RETRY_AFTER_S,
 )
 
@@ -30,9 +30,9 @@
     """Identity and charge of one request.
 
     Attributes:
-        requires_key: Whether keys are asked for at all, so that they go no further than here.
-        tenant: Whose request it is; None without tenants, and for callers without a key.
-        units: What it counts to the tenant's rate; 0 where that is not limited.
+        requires_key: Whether callers need keys; then keys are not forwarded.
+        tenant: The caller's tenant; None without tenants, and for callers without a key.
+        units: Units that it counts against the tenant's rate; 0 if that is not limited.
     """
 
     def __init__(self, context: ExchangeContext, request: CallerRequest) -> None:
@@ -45,30 +45,33 @@
         self._charge: Charge | None = None
 
     def rank(self, route: Route) -> int:
-        """Return the rank of the request: its tenant's goes before its route's."""
+        """Return the rank of the request; the tenant's rank takes precedence over the route's."""
         if self.tenant is None or self.tenant.rank is None:
             return route.rank
         return self.tenant.rank
 
     async def admit(self, route: Route, deadline_at_s: float) -> Rejection | None:
-        """Decide whether the request may run; return why not, or None.
+        """Decide whether the request may run; return a rejection if not.
 
         Args:
             route: Its route.
-            deadline_at_s: Clock (`monotonic_s`) after which the caller has no use for an answer.
+            deadline_at_s: Time (`monotonic_s`) after which the caller has no use for a response.
         """
         self._is_public = route.public
         wait_ends_at_s = min(deadline_at_s, monotonic_s() + MAX_FRESHNESS_WAIT_S)
-        refusal = self.recheck()
-        while refusal is _STALE and monotonic_s() < wait_ends_at_s:
+        rejection = self.recheck()
+        while rejection is _STALE and monotonic_s() < wait_ends_at_s:
             await self._context.wait_for_change(POLL_S)
-            refusal = self.recheck()
-        if refusal is not None:
-            return refusal
+            rejection = self.recheck()
+        if rejection is not None:
+            return rejection
         return await self._charge_units(deadline_at_s)
 
     def recheck(self) -> Rejection | None:
-        """Look again whether the caller's key is in force; nothing may be awaited before a send."""
+        """Check again that the caller's key is valid.
+
+        The caller must not await anything between this check and sending the request.
+        """
         table = self._context.table
         directory = None if table is None else table.tenants
         self.requires_key = directory is not None
@@ -87,13 +90,13 @@
         return _UNKNOWN_KEY if found is IdentityFailure.UNKNOWN_KEY else _STALE
 
     async def charge_again(self, deadline_at_s: float) -> Rejection | None:
-        """Have units granted for a further run, because a replica may have run the request."""
+        """Charge another run, because a replica may have run the request already."""
         self._charge = None
         return await self._charge_units(deadline_at_s)
 
     async def _charge_units(self, deadline_at_s: float) -> Rejection | None:
         tenant = self.tenant
-        # A request on a public route counts to nobody: whoever shows no key may send it, too.
+        # A request on a public route is charged to no tenant: anybody may send it without a key.
         if tenant is None or not tenant.is_limited or self._is_public:
             return None
         self.units = tenant.cost(self._request.prompt_tokens + self._request.output_tokens)
@@ -104,12 +107,12 @@
         return None
 
     def return_units(self) -> None:
-        """No replica ran the request: its units serve the tenant's next one."""
+        """Return the charged units for the tenant's next request: no replica ran this one."""
         charge, self._charge = self._charge, None
         if charge is not None:
             self._context.grants.return_units(charge)
 
 
 def to_monotonic_at_s(loop_deadline_s: float) -> float:
-    """Return a deadline of the event loop on the clock that also counts a freeze."""
+    """Convert a deadline of the event loop to the clock that also runs during a freeze."""
     return monotonic_s() + loop_deadline_s - asyncio.get_running_loop().time()
--- a/src/crowsill/gateway/availability.py
+++ b/src/crowsill/gateway/availability.py
@@ -194,7 +194,7 @@
         return None
 
     def accepts_on_open_connection(self, now_s: float) -> bool:
-        """Whether a request may be sent on an open connection; checked just before it is written."""
+        """Whether a request may be sent on an open connection; checked right before it is sent."""
         return (
             not self.has_reported_draining
             and not self.is_listed_draining
--- a/src/crowsill/gateway/demand.py
+++ b/src/crowsill/gateway/demand.py
@@ -1,4 +1,4 @@
-"""What a gateway tells the control group of the models that its requests need."""
+"""Reports the demand of a gateway's requests for models to the control group."""
 
 import asyncio
 
@@ -8,29 +8,29 @@
 
 
 class DemandReporter:
-    """Counts demand for the next heartbeat; asks at once for what no replica holds."""
+    """Counts demand for the next heartbeat, and reports missing resources at once."""
 
     def __init__(self, follower: GatewayFollower, keep_asking_s: float) -> None:
-        """Make it.
+        """Create it.
 
         Args:
-            follower: The stream to the group.
-            keep_asking_s: How long what a refused caller lacked is asked for.
+            follower: The stream to the control group.
+            keep_asking_s: Time for which the missing resource of a rejected request is reported.
         """
         self._follower = follower
         self._missing = MissingResources(keep_asking_s)
-        # Shares of requests that count as urgent, until they make a whole one.
+        # Accumulated urgency of requests; each whole 1 counts as one urgent request.
         self._urgency = 0.0
 
     def report_missing(self, service: str, model: str, adapter: str) -> None:
-        """Tell the control group that a resource is asked for and held nowhere."""
+        """Report that a resource is needed and that no replica holds it."""
         now_s = asyncio.get_running_loop().time()
         resource = resource_name(service, model, adapter)
         if self._missing.is_due(resource, now_s):
             self._send_demand([resource], now_s)
 
     def keep_reporting(self, service: str, model: str, adapter: str) -> None:
-        """Go on asking for a resource whose caller was refused."""
+        """Continue to report a resource whose request was rejected."""
         now_s = asyncio.get_running_loop().time()
         self._missing.retain(resource_name(service, model, adapter), now_s)
 
@@ -41,7 +41,7 @@
             self._missing.note_reported(resource, now_s)
 
     async def repeat_reports(self) -> None:
-        """Ask for what refused callers lacked, until cancelled."""
+        """Report the missing resources of rejected requests, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(REPEAT_INTERVAL_S)
@@ -55,8 +55,8 @@
         Args:
             service: Its service.
             model: The model; empty for a plain service, which is not counted.
-            adapter: The adapter, or an empty text.
-            urgency: How far it counts as urgent, from 0 to 1.
+            adapter: The adapter; empty if none.
+            urgency: Its urgency, from 0 to 1.
         """
         if not model:
             return
--- a/src/crowsill/gateway/gateway_count.py
+++ b/src/crowsill/gateway/gateway_count.py
@@ -1,16 +1,17 @@
-"""How many gateways share what is allowed to all of them together. Pure."""
+"""Tracks how many gateways share limits that apply to all of them together. Pure."""
 
 from collections import deque
 
-# Gateways that are assumed until the group has told their number for a while.
+# Assumed number of gateways until the group has reported it for WINDOW_S.
 INITIAL_GATEWAYS = 8
 WINDOW_S = 10.0
 
 
 class GatewayCount:
-    """The most gateways that were live at any time lately.
+    """The maximum number of live gateways within the last WINDOW_S seconds.
 
-    A new leader hears of them one after the other, and too small a number is too large a share.
+    A new leader learns of gateways one after the other, and too low a count makes each share too
+    large.
 
     >>> count = GatewayCount()
     >>> count.note(3, 0.0), count.maximum(), count.note(12, 1.0), count.maximum()
@@ -25,7 +26,7 @@
         self._maximum = INITIAL_GATEWAYS
 
     def note(self, gateways: int, now_s: float) -> None:
-        """Take in the number of live gateways that the group told."""
+        """Record the number of live gateways that the group reported."""
         if self._first_report_at_s is None:
             self._first_report_at_s = now_s
         self._counts.append((now_s, gateways))
@@ -37,5 +38,5 @@
             self._maximum = max(self._maximum, gateways)
 
     def maximum(self) -> int:
-        """Return the most that were live at any time lately."""
+        """Return the maximum number of live gateways in the window."""
         return self._maximum
--- a/src/crowsill/gateway/missing_resources.py
+++ b/src/crowsill/gateway/missing_resources.py
@@ -1,54 +1,55 @@
-"""Models and adapters that a gateway asks the control group for. Pure.
+"""Tracks the models and adapters that a gateway reports as missing. Pure.
 
-The group forgets what is not asked for again. A request that is held asks again by itself; for one
-that was refused the gateway goes on asking for as long as the operator chose.
+The control group forgets demand that is not reported again. A waiting request repeats its report;
+for a rejected request, the gateway repeats it for a time set by the operator.
 """
 
 from collections import OrderedDict
 
-# A resource is asked for once in so long, however many requests lack it.
+# Minimum time between two reports of a resource, however many requests need it.
 REPEAT_INTERVAL_S = 0.3
-# Callers choose the names that they ask for: beyond so many the one refused longest ago is dropped.
+# Callers choose the names of resources, so their number is bounded: beyond this, the resource whose
+# request was rejected longest ago is dropped.
 MAX_RETAINED = 500
 
 
 class MissingResources:
-    """What was asked for lately, and what is to be asked for again.
+    """The missing resources reported lately, and those to be reported again.
 
-    >>> asked = MissingResources()
-    >>> asked.is_due("m", 0.0), asked.note_reported("m", 0.0), asked.is_due("m", 0.2)
+    >>> missing = MissingResources()
+    >>> missing.is_due("m", 0.0), missing.note_reported("m", 0.0), missing.is_due("m", 0.2)
     (True, None, False)
-    >>> asked.retain("m", 0.2), asked.due(0.25), asked.due(0.4), asked.due(9.0)
+    >>> missing.retain("m", 0.2), missing.due(0.25), missing.due(0.4), missing.due(9.0)
     (None, [], ['m'], [])
     """
 
     def __init__(self, retention_s: float = 8.0) -> None:
-        """Make it.
+        """Create it.
 
         Args:
-            retention_s: How long what a refused caller lacked is asked for.
+            retention_s: Time for which the missing resource of a rejected request is reported.
         """
         self._retention_s = retention_s
         self._reported_at_s: dict[str, float] = {}
         self._retained_until_at_s: OrderedDict[str, float] = OrderedDict()
 
     def is_due(self, resource: str, now_s: float) -> bool:
-        """Whether a resource was not asked for lately."""
+        """Whether a resource has not been reported lately."""
         return now_s - self._reported_at_s.get(resource, float("-inf")) >= REPEAT_INTERVAL_S
 
     def note_reported(self, resource: str, now_s: float) -> None:
-        """A resource has been asked for."""
+        """Record that a resource has been reported."""
         self._reported_at_s[resource] = now_s
 
     def retain(self, resource: str, now_s: float) -> None:
-        """Go on asking for a resource whose caller was refused."""
+        """Continue to report a resource whose request was rejected."""
         self._retained_until_at_s[resource] = now_s + self._retention_s
         self._retained_until_at_s.move_to_end(resource)
         if len(self._retained_until_at_s) > MAX_RETAINED:
             self._retained_until_at_s.popitem(last=False)
 
     def due(self, now_s: float) -> list[str]:
-        """Return what is to be asked for again now, and forget what is over."""
+        """Return the resources to report again now, and drop expired ones."""
         horizon_s = now_s - REPEAT_INTERVAL_S
         self._reported_at_s = {
             resource: at_s for resource, at_s in self._reported_at_s.items() if at_s > horizon_s
@@ -59,7 +60,7 @@
 
 
 def resource_name(service: str, model: str, adapter: str) -> str:
-    """Return the name under which demand is counted.
+    """Return the name of a model or adapter in demand reports.
 
     >>> resource_name("s", "m", "a1"), resource_name("s", "m", "")
     ('s|m/a1', 's|m')
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -1,4 +1,4 @@
-"""What has been done for one request so far."""
+"""The state of one request while it is served."""
 
 from dataclasses import dataclass, field
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What has been done for a request.
+    """The attempts made for a request so far.
 
     Attributes:
-        tried: Ids of instances that have had it.
+        tried: Ids of the instances that it was sent to.
         attempts: How often it was sent.
         runs: How often a replica ran it, or may have.
-        may_have_run: Whether "not run" may no longer be said.
-        last_failure: Why the last sending brought nothing, for the refusal.
-        waiting_reason: Why it was held last.
-        attempt: The present sending, or the last one.
+        may_have_run: Whether a rejection may no longer say "not run".
+        last_failure: Why the last attempt failed, for the error message.
+        waiting_reason: Why it waited last.
+        attempt: The current attempt, or the last one.
     """
 
     tried: set[str] = field(default_factory=set)
@@ -32,7 +32,7 @@
 
 
 class PendingPrompt:
-    """A prompt that a replica has not read yet, counted until its first event or its end."""
+    """A prompt that a replica has not read yet; counted until its first event or its end."""
 
     def __init__(self, record: ReplicaRecord, tokens: int, sent_s: float) -> None:
         self._record = record
@@ -42,7 +42,7 @@
         record.unanswered_sent_at_s[id(self)] = sent_s
 
     def stop_counting(self) -> None:
-        """Count it no more."""
+        """Stop counting it."""
         if not self._is_counted:
             return
         self._is_counted = False
@@ -51,14 +51,14 @@
 
 
 class Probe:
-    """A sending to a replica that may have few after a rest, counted until it is answered."""
+    """An attempt at a replica that accepts few after a backoff; counted until its response."""
 
     def __init__(self, availability: Availability) -> None:
         self._availability = availability
         self._is_counted = availability.begin_probe()
 
     def end(self) -> None:
-        """Count it no more."""
+        """Stop counting it."""
         if self._is_counted:
             self._is_counted = False
             self._availability.end_probe()
--- a/src/crowsill/gateway/quota.py
+++ b/src/crowsill/gateway/quota.py
@@ -1,8 +1,8 @@
-"""A gateway's grants: asks the leader for what a tenant's requests need.
+"""Requests grants from the leader for tenants with a rate limit.
 
-The leader keeps each tenant's bucket, so that the sum over all gateways is bounded whatever becomes
-of a gateway (see `tenancy/grant_ledger.py`). A request that nobody ran gives its units back for the
-tenant's next one at this gateway, as long as the grant is good.
+The leader keeps each tenant's token bucket, so the sum over all gateways is bounded whatever
+happens to a gateway (see `tenancy/grant_ledger.py`). A request that no replica ran returns its
+units for the tenant's next one at this gateway, as long as the grant is valid.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 from crowsill.model.tenants import Tenant
 from crowsill.transport.messages import Body, GrantReply, GrantRequest
 
-# Time after which a question is asked again, on whatever stream there is then.
+# Time after which a query is sent again, on the stream that is open then.
 RESPONSE_TIMEOUT_S = 0.8
 QUERY_RETRY_S = 0.05
 # Without a leader nothing is granted. A group elects one within 0.4 to 0.8 s of a loss, and its
-# gateways reach it 0.1 to 0.3 s later; a caller that is sent away comes back no sooner.
+# gateways reach it 0.1 to 0.3 s later; a rejected caller would not be back sooner.
 MAX_LEADER_WAIT_S = 1.2
 NO_LEADER_RETRY_AFTER_S = 0.5
 
@@ -30,9 +30,9 @@
     """Units that were granted for a request.
 
     Attributes:
-        tenant: Whose they are.
-        units: How many.
-        expires_at_s: Clock after which no request may begin on them.
+        tenant: The tenant that they are charged to.
+        units: Number of units.
+        expires_at_s: Time (`monotonic_s`) after which no request may begin on them.
     """
 
     tenant: str
@@ -44,11 +44,11 @@
     """The grants of all tenants at one gateway."""
 
     def __init__(self, query: Callable[[GrantRequest, float], Awaitable[Body | None]]) -> None:
-        """Make a client.
+        """Create a client.
 
         Args:
-            query: Sends a question to the group; the reply, or None when there was none within the
-                time given.
+            query: Sends a request to the control group; returns the reply, or None if there was
+                none within the given time.
         """
         self._query = query
         self._unused: dict[str, list[Charge]] = {}
@@ -56,12 +56,12 @@
     async def charge(
         self, tenant: Tenant, units: float, deadline_at_s: float
     ) -> Charge | Rejection:
-        """Have units granted for one request; wait until they may be used.
+        """Obtain units for one request and wait until they may be used.
 
         Args:
-            tenant: Whose request it is; its rate is limited.
-            units: What it counts.
-            deadline_at_s: Clock (`monotonic_s`) after which the caller has no use for it.
+            tenant: The tenant of the request; its rate is limited.
+            units: Units that the request counts.
+            deadline_at_s: Time (`monotonic_s`) after which the caller has no use for them.
         """
         unused = self._take_unused(tenant.name, units)
         if unused is not None:
@@ -71,7 +71,7 @@
             queried_at_s = monotonic_s()
             if queried_at_s >= deadline_at_s:
                 note_tenant_units(tenant.name, "no_leader", units)
-                detail = "nobody could say whether the tenant's rate has room"
+                detail = "no leader confirmed in time that the tenant's rate limit has capacity"
                 return Rejection(ErrorKind.NOT_READY, detail, NO_LEADER_RETRY_AFTER_S)
             timeout_s = min(RESPONSE_TIMEOUT_S, deadline_at_s - queried_at_s)
             reply = await self._query(GrantRequest(tenant.name, units), timeout_s)
@@ -80,10 +80,11 @@
                 continue
             if not reply.is_granted:
                 note_tenant_units(tenant.name, "refused", units)
-                detail = f"the tenant's rate has no room for {units:g} more"
+                detail = f"the tenant's rate limit has no capacity for {units:g} more units"
                 return Rejection(ErrorKind.RATE_LIMITED, detail, reply.wait_s)
             await asyncio.sleep(reply.wait_s)
-            # It took effect after it was asked for, so it is good for at least as long as this.
+            # The grant took effect after the query was sent, so it is valid at least until this
+            # time.
             expires_at_s = queried_at_s + reply.wait_s + reply.lifetime_s
             if monotonic_s() < expires_at_s:
                 note_tenant_units(tenant.name, "granted", units)
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -1,4 +1,4 @@
-"""What a sending to a replica teaches: how fast it is, what it lacks, whether it is there."""
+"""Updates the state of a replica from the attempts at it: latency, resources, reachability."""
 
 import asyncio
 
@@ -14,15 +14,17 @@
 from crowsill.model.routes import Route
 from crowsill.routing.retry_after import REJECTION_STATUSES
 
-# A first event that took more than this share of its target tells placement of too few copies.
+# A first event that took more than this share of its target reports an overloaded model to
+# placement, which then needs more model copies.
 OVERLOADED_TARGET_SHARE = 0.6
-# A replica that did not begin to answer for so long is tried by a new connection first.
+# After this time without a response head, a replica must accept a new connection before it is sent
+# further requests.
 SILENT_REPLICA_S = 1.5
 MIN_SERVER_ERROR_STATUS = 500
 
 
 class ReplicaFeedback:
-    """Takes in the ends of one request's sendings."""
+    """Records the results of one request's attempts."""
 
     def __init__(
         self,
@@ -40,7 +42,7 @@
     def process_signals(
         self, record: ReplicaRecord, sent_s: float, status: int, signals: ReplicaSignals
     ) -> None:
-        """Take in what the head of an answer says of its replica, as it comes."""
+        """Apply the signals of a response head as soon as it arrives."""
         now_s = self._loop.time()
         if signals.unreadable and not record.availability.had_unreadable_signal:
             record.availability.had_unreadable_signal = True
@@ -58,7 +60,7 @@
             self._context.on_draining(record)
 
     def _process_limit(self, record: ReplicaRecord, sent_s: float, signals: ReplicaSignals) -> None:
-        """Take in the limit that the head of an answer names, or that it names none."""
+        """Apply the rate limit of a response head, or its absence."""
         availability = record.availability
         if signals.limit_per_s is not None:
             if not availability.note_limit(signals.limit_per_s, self._loop.time()):
@@ -71,7 +73,7 @@
         self._context.on_limit_changed(record)
 
     def check_silence(self, record: ReplicaRecord, attempt: Attempt) -> None:
-        """A replica that said nothing for long may be gone without a word."""
+        """Mark a replica as unreachable that has sent nothing for long: it may have crashed."""
         if attempt.has_response or attempt.connection is None:
             return
         if self._loop.time() - attempt.started_at_s < SILENT_REPLICA_S:
@@ -81,7 +83,7 @@
         self._log.log_attempt_failed(record, "silent", "no answer")
 
     def note_overload(self, route: Route, attempt: Attempt, sent_s: float) -> None:
-        """Tell placement of a first event that took most of its target."""
+        """Report an overloaded model if a first event took most of its target."""
         if not self._request.model or attempt.first_data_at_s is None:
             return
         taken_ms = (attempt.first_data_at_s - sent_s) * 1000.0
@@ -91,7 +93,7 @@
     def note_attempt_end(
         self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_s: float
     ) -> None:
-        """Take in what an attempt says about its replica."""
+        """Update the state of the replica from an attempt that has ended."""
         record, request = choice.record, self._request
         now_s = self._loop.time()
         GATEWAY_ATTEMPTS.labels(end.result).inc()
@@ -101,7 +103,8 @@
             if end.status == 421 and request.model:
                 record.availability.note_missing(request.resource)
             elif end.status in REJECTION_STATUSES and not attempt.signals.backoff_s:
-                # It answers at once and has nothing in flight, so that it looks the quickest.
+                # It responds at once and has nothing in flight, so it would look like the fastest
+                # one.
                 record.note_error_response()
             return
         self._progress.runs += 1
--- a/src/crowsill/gateway/replica_grants.py
+++ b/src/crowsill/gateway/replica_grants.py
@@ -1,7 +1,7 @@
-"""A gateway's requests at replicas that name a limit: each is granted by the leader.
+"""Requests grants for replicas that advertise a rate limit; the leader grants each request.
 
-The limit is on the sum of what all gateways send, so that no gateway can keep it alone. One that
-cannot reach the leader sends such a replica nothing.
+The limit is on the sum of the requests of all gateways, so no gateway can enforce it alone. A
+gateway that cannot reach the leader sends nothing to such a replica.
 """
 
 import asyncio
@@ -13,47 +13,49 @@
 from crowsill.transport.messages import Body, GrantReply
 from crowsill.transport.replica_messages import ReplicaGrantRequest
 
-# A question crosses between sites and back within some ms; a lost packet is sent again after 0.2 s.
+# A round trip between sites takes some ms; a lost packet is retransmitted after 0.2 s.
 RESPONSE_TIMEOUT_S = 0.3
 NO_LEADER_RETRY_AFTER_S = 0.3
-# A replica is left alone for so long at least where it was refused.
+# Minimum time for which a replica is closed after a rejection.
 MIN_CLOSE_S = 0.05
 
 
 class ReplicaGrants:
-    """Asks for requests at replicas that name a limit."""
+    """Requests grants for replicas that advertise a rate limit."""
 
     def __init__(
         self,
         query: Callable[[ReplicaGrantRequest, float], Awaitable[Body | None]],
         on_change: Callable[[], None],
     ) -> None:
-        """Make it.
+        """Create it.
 
         Args:
-            query: Sends a question to the group; the reply, or None when there was none within the
-                time given.
-            on_change: Called when a replica may be asked for again.
+            query: Sends a request to the control group; returns the reply, or None if there was
+                none within the given time.
+            on_change: Called when the replica may be requested again.
         """
         self._query = query
         self._on_change = on_change
-        # Held while a question is under way; gone when nobody asks.
+        # Locks exist while a query is in progress; an unused lock is garbage collected.
         self._query_locks: WeakValueDictionary[str, asyncio.Lock] = WeakValueDictionary()
 
     async def acquire(self, record: ReplicaRecord, is_urgent: bool) -> float | None:
-        """Have one request at a replica granted; wait until it may be sent.
+        """Request a grant for one request at a replica and wait until it may be sent.
 
         Args:
             record: The replica.
             is_urgent: Whether the request cannot wait.
 
         Returns:
-            The clock until which it may be sent, which has passed where the limit is over and no
-            grant is needed; None when it may not, and the replica is closed for a while.
+            The monotonic time until which it may be sent, in seconds; minus infinity if no limit is
+            in effect and no grant is needed. None if it may not be sent; the replica is then closed
+            for some time.
         """
         loop = asyncio.get_running_loop()
         availability, instance_id = record.availability, record.instance.instance_id
-        # One question at a time for each replica: what one is refused holds for all of its kind.
+        # One query at a time per replica: a rejection applies to all waiting requests of the same
+        # kind.
         lock = self._query_locks.setdefault(instance_id, asyncio.Lock())
         async with lock:
             now_s = loop.time()
@@ -68,11 +70,11 @@
                 return None
         REPLICA_GRANTS.labels("granted").inc()
         await asyncio.sleep(reply.wait_s)
-        # It took effect after it was asked for, so it is good for at least as long as this.
+        # The grant took effect after the query was sent, so it is valid at least until this time.
         return now_s + reply.wait_s + reply.lifetime_s
 
     def _close(self, record: ReplicaRecord, reply: Body | None, is_urgent: bool) -> None:
-        """Leave a replica alone until there may be room for another request of a kind."""
+        """Close a replica until it may have capacity for another request of the same kind."""
         loop = asyncio.get_running_loop()
         if isinstance(reply, GrantReply):
             REPLICA_GRANTS.labels("refused").inc()
--- a/src/crowsill/gateway/replica_registry.py
+++ b/src/crowsill/gateway/replica_registry.py
@@ -87,7 +87,7 @@
         self.instance = self._with_reported_drain(instance)
 
     def _with_reported_drain(self, instance: Instance) -> Instance:
-        """Return the instance as draining if the replica reported that, even if heartbeats differ."""
+        """Return the instance as draining if the replica reported that, whatever heartbeats say."""
         if not self.availability.has_reported_draining or not instance.accepts_work:
             return instance
         return msgspec.structs.replace(instance, state=InstanceState.DRAINING)
--- a/src/crowsill/gateway/replica_signals.py
+++ b/src/crowsill/gateway/replica_signals.py
@@ -1,8 +1,8 @@
-"""What a replica says of itself in the head of an answer, whatever it answers. Pure.
+"""Parses what a replica reports about itself in a response head, whatever the status. Pure.
 
-Its load, that it wants nothing more for a while (`Retry-After`, RFC 9110, section 10.2.3), the rate
-that it takes from all gateways together, and that it leaves. What cannot be read says nothing, and
-is named for the log.
+These are its load, a backoff (`Retry-After`, RFC 9110, section 10.2.3), the rate limit that it
+enforces for all gateways together, and that it drains. A value that cannot be parsed has no effect
+and is passed to the log.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLoad:
-    """Load that a replica told.
+    """Load reported by a replica.
 
     Attributes:
         running: Requests that it runs.
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSignals:
-    """What one answer says of its replica.
+    """What one response head reports about its replica.
 
     Attributes:
-        load: Its load, if it told any.
-        backoff_s: How long from now it wants nothing from this process; 0 if it does not say.
-        is_draining: Whether it leaves: it is to get nothing new in this life.
-        limit_per_s: Requests a second that it takes from all gateways; None if it names none that
-            can be read. Of several, the least.
-        has_limit_header: Whether it names any, one that cannot be read included.
-        unreadable: What it said that cannot be read, for the log; empty without.
+        load: Its load; None if not reported.
+        backoff_s: Time from now for which it accepts nothing from this process; 0 if not reported.
+        is_draining: Whether it drains: this incarnation gets no new requests.
+        limit_per_s: Advertised rate limit for all gateways, in requests a second; the lowest of
+            several. None if no readable one is advertised.
+        has_limit_header: Whether it advertises any rate limit, readable or not.
+        unreadable: Values that cannot be parsed, for the log; empty if there are none.
     """
 
     load: ReplicaLoad | None = None
@@ -54,13 +54,13 @@
 def read_signals(
     status: int, headers: Headers, names: HeaderNames, wall_s: float
 ) -> ReplicaSignals:
-    """Read what an answer says of its replica.
+    """Parse what a response head reports about its replica.
 
     Args:
-        status: Status of the answer.
+        status: Status of the response.
         headers: Its headers.
         names: Header names.
-        wall_s: Unix time, for dates.
+        wall_s: Current Unix time, to resolve dates.
 
     >>> names = HeaderNames()
     >>> read_signals(503, [(b"Retry-After", b"2.5")], names, 0.0).backoff_s
@@ -82,31 +82,31 @@
     unreadable.extend(
         f"leaving: {value.decode('latin-1')}" for value in drain_values if value != _DRAINING_VALUE
     )
-    named = [value for name in names.limit for value in all_values(headers, name)]
-    limits = {value: read_limit_per_s(value) for value in named}
+    limit_values = [value for name in names.limit for value in all_values(headers, name)]
+    limits = {value: read_limit_per_s(value) for value in limit_values}
     unreadable.extend(
-        f"limit: {value.decode('latin-1')}" for value in named if limits[value] is None
+        f"limit: {value.decode('latin-1')}" for value in limit_values if limits[value] is None
     )
     return ReplicaSignals(
         load=read_load(find_header(headers, names.load)),
         backoff_s=backoff_s,
         is_draining=_DRAINING_VALUE in drain_values,
         limit_per_s=min((per_s for per_s in limits.values() if per_s is not None), default=None),
-        has_limit_header=bool(named),
+        has_limit_header=bool(limit_values),
         unreadable=", ".join(unreadable)[:MAX_UNREADABLE_CHARS],
     )
 
 
 def read_load(header: bytes | None) -> ReplicaLoad | None:
-    """Read a load of the form `running,waiting,slots`; None when there is none.
+    """Parse a load of the form `running,waiting,slots`; return None if it is absent or invalid.
 
     >>> read_load(b"3,1,8"), read_load(b"3"), read_load(None)
     (ReplicaLoad(running=3.0, waiting=1.0), None, None)
     """
-    words = [] if header is None else header.split(b",")
-    if len(words) < 2:
+    fields = [] if header is None else header.split(b",")
+    if len(fields) < 2:
         return None
-    running, waiting = read_number(words[0]), read_number(words[1])
+    running, waiting = read_number(fields[0]), read_number(fields[1])
     if running is None or waiting is None:
         return None
     return ReplicaLoad(running, waiting)
--- a/src/crowsill/gateway/replica_watch.py
+++ b/src/crowsill/gateway/replica_watch.py
@@ -1,4 +1,4 @@
-"""Looks after replicas that are sent nothing, until they are reached, have rested or are gone."""
+"""Watches replicas that are sent nothing, until they are reachable, open again or removed."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -12,12 +12,12 @@
 
 RECONNECT_S = 0.5
 RECONNECT_TIMEOUT_S = 1.0
-# The group has recorded that a replica leaves, and told all gateways, within half of this.
+# The control group records that a replica drains and informs all gateways within half this time.
 DRAIN_REPORT_INTERVAL_S = 0.5
 
 
 class ReplicaWatch:
-    """The replicas of one gateway that are out of use for now."""
+    """The replicas of one gateway that are excluded for now."""
 
     def __init__(
         self,
@@ -26,12 +26,12 @@
         notify: Callable[[SuspectInstances | LeavingInstances], bool],
         on_change: Callable[[], None],
     ) -> None:
-        """Make a watch.
+        """Create a watch.
 
         Args:
-            registry: What is known of replicas.
+            registry: The known replicas.
             pool: Connections to them.
-            notify: Tells the group something; returns whether it could be sent.
+            notify: Sends a notice to the control group; returns whether it could be sent.
             on_change: Called when a replica may be sent requests again.
         """
         self._registry = registry
@@ -41,20 +41,20 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def watch_unreachable(self, record: ReplicaRecord) -> None:
-        """Leave a replica out until a connection to it can be made, and say so to the group."""
-        # A record that is gone is looked after by nobody, and its life may be listed again.
+        """Exclude a replica until a connection to it succeeds, and report it as a suspect."""
+        # Nobody watches a removed record, and its incarnation may be listed again.
         is_known = self._registry.find(record.instance.instance_id) is record
         if not is_known or record.availability.is_unreachable:
             return
         record.availability.note_unreachable()
-        # Other connections to it are as old as the one that failed or said nothing: each would
-        # cost a request its deadline, and would pass for the proof that it can be reached.
+        # Other idle connections to it are as old as the one that failed or was silent. Each would
+        # cost a request its deadline, and would count as proof that the replica is reachable.
         self._pool.close_idle(record.instance.instance_id)
         self._notify(SuspectInstances([record.instance.instance_id]))
         self._start_task(self._reconnect(record))
 
     async def _reconnect(self, record: ReplicaRecord) -> None:
-        """Try to connect until it works or the replica is gone for good."""
+        """Try to connect until it succeeds or the replica is removed or drains."""
         instance_id = record.instance.instance_id
         while self._registry.find(instance_id) is record and record.instance.accepts_work:
             await asyncio.sleep(RECONNECT_S)
@@ -69,7 +69,7 @@
             return
 
     def watch_backoff(self, record: ReplicaRecord) -> None:
-        """Look at a replica again when its rest is over."""
+        """Schedule a check for the end of a replica's backoff."""
         asyncio.get_running_loop().call_at(
             record.availability.backoff_ends_at_s, self._end_backoff, record
         )
@@ -77,7 +77,7 @@
     def _end_backoff(self, record: ReplicaRecord) -> None:
         availability = record.availability
         if availability.is_backing_off(asyncio.get_running_loop().time()):
-            # It has asked for more meanwhile.
+            # The backoff was extended meanwhile.
             self.watch_backoff(record)
             return
         log_event(
@@ -88,11 +88,11 @@
         self._on_change()
 
     def report_draining(self, record: ReplicaRecord) -> None:
-        """Tell the group that a replica said that it leaves."""
+        """Report to the control group that a replica drains."""
         self._start_task(self._repeat_drain_report(record))
 
     async def _repeat_drain_report(self, record: ReplicaRecord) -> None:
-        """Tell the group until its directory says so, or the replica is gone."""
+        """Repeat the report until the directory lists the replica as draining or it is removed."""
         instance_id = record.instance.instance_id
         while (
             self._registry.find(instance_id) is record
@@ -107,7 +107,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """End what is under way."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/src/crowsill/gateway/routing_table.py
+++ b/src/crowsill/gateway/routing_table.py
@@ -1,14 +1,14 @@
-"""Finds the route of a request: by host, then by the longest path prefix."""
+"""Finds the route of a request by host and longest path prefix."""
 
 from random import Random
 
 from crowsill.model.routes import Route, RouteConfiguration, ServiceDefinition
 from crowsill.tenancy.identity import TenantDirectory
 
-# A route with a target up to this is for callers who do not wait.
+# Routes with a latency target up to this are for callers who do not wait.
 URGENT_TARGET_MS = 2000.0
-# How much a route with a longer target counts as one of those, if the operator ranks it above one:
-# a long target says that its callers can wait, not that they matter less.
+# Urgency of a route with a longer target that the operator ranks above an urgent one: a long target
+# means that its callers can wait, not that they matter less.
 OUTRANKING_URGENCY = 0.34
 
 
@@ -18,12 +18,12 @@
 
 
 class GatewayRoutingTable:
-    """An index over one route configuration, made once for each version.
+    """An index of one route configuration, built once per version.
 
     Attributes:
-        configuration: What it was made from.
+        configuration: The indexed configuration.
         services: Services by name.
-        tenants: Who may call; None where nobody needs a key.
+        tenants: The tenants that may call; None if no key is required.
     """
 
     def __init__(self, configuration: RouteConfiguration) -> None:
@@ -44,7 +44,7 @@
         return self.configuration.version
 
     def urgency(self, route: Route) -> float:
-        """How far what a route's requests need is to be held ready, from 0 to 1."""
+        """Return how urgent it is to keep a route's models loaded, from 0 to 1."""
         if is_urgent(route):
             return 1.0
         return OUTRANKING_URGENCY if route.name in self._outranking else 0.0
@@ -73,7 +73,7 @@
 
 
 def outranking_routes(routes: list[Route]) -> frozenset[str]:
-    """Return the routes that the operator ranks above one with a short target at their service.
+    """Return the routes that the operator ranks above an urgent route of the same service.
 
     >>> from crowsill.model.routes import RouteKind, WeightedService
     >>> def route(name, target_ms, rank, service="s"):
@@ -84,20 +84,22 @@
     >>> sorted(outranking_routes([route("chat", 800, 1), route("letter", 6000, 1)]))
     []
     """
-    short = [route for route in routes if is_urgent(route)]
-    lowest: dict[str, int] = {}
-    for route in short:
+    urgent_routes = [route for route in routes if is_urgent(route)]
+    worst_urgent_rank: dict[str, int] = {}
+    for route in urgent_routes:
         for share in route.services:
-            lowest[share.service] = max(route.rank, lowest.get(share.service, route.rank))
+            worst_urgent_rank[share.service] = max(
+                route.rank, worst_urgent_rank.get(share.service, route.rank)
+            )
     return frozenset(
         route.name
         for route in routes
-        if any(route.rank < lowest.get(share.service, -1) for share in route.services)
+        if any(route.rank < worst_urgent_rank.get(share.service, -1) for share in route.services)
     )
 
 
 def pick_service(route: Route, random: Random) -> str:
-    """Draw one of a route's services by weight.
+    """Choose one of a route's services at random, by weight.
 
     >>> from crowsill.model.routes import RouteKind, WeightedService
     >>> split = [WeightedService("a", 0), WeightedService("b", 3)]
