--- a/spec/check.py
+++ b/spec/check.py
@@ -1,7 +1,7 @@
 """Runs the model checker over all specifications: `python -m spec.check`.
 
-Each right model must hold over its whole state space, and each broken variant must give a
-counter-example, so that the check is known to be able to fail.
+Each correct model must satisfy its invariants over its full state space. Each broken variant must
+yield a counter-example, which shows that the check can fail.
 """
 
 import sys
@@ -10,12 +10,21 @@
 
 from minicheck import Protocol, check_safety
 
-from spec import claims, configuration, election, lives, orders, replacement, restarts, revocation
+from spec import (
+    claims,
+    configuration,
+    election,
+    incarnations,
+    orders,
+    replacement,
+    restarts,
+    revocation,
+)
 from spec.orders import Variant
 
 MEMORY = "memory is not overcommitted"
 MAX_STATES = 1_000_000
-# A counter-example found in a part of the space is one all the same.
+# A counter-example in a part of the state space is sufficient.
 MAX_BROKEN_STATES = 50_000
 
 
@@ -24,9 +33,9 @@
     """One run of the checker.
 
     Attributes:
-        name: Row of the report.
+        name: Name in the report.
         protocol: The model.
-        broken: The invariant that must fail; None when all must hold.
+        broken: The invariant that must be violated; None if all must hold.
     """
 
     name: str
@@ -83,10 +92,10 @@
         revocation.protocol(checks_once=True),
         "a taken key runs nothing after its bound",
     ),
-    Case("lives", lives.protocol()),
+    Case("lives", incarnations.protocol()),
     Case(
         "lives, known by the name",
-        lives.protocol(by_name=True),
+        incarnations.protocol(by_name=True),
         "the newest life that was heard is known",
     ),
     Case("orders, fences checked", orders.protocol(Variant(True, True))),
@@ -110,7 +119,7 @@
 
 
 def run_case(case: Case) -> bool:
-    """Check one case, print its row and return whether it is as it must be."""
+    """Check one case, print its row and return whether it has the expected result."""
     started_s = time.monotonic()
     max_states = MAX_STATES if case.broken is None else MAX_BROKEN_STATES
     result = check_safety(case.protocol, max_states)
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,7 +1,7 @@
 """Claims with resends, lost and late messages, and entry crashes.
 
-One key, two attempts at two entries. Messages stay in the network for ever, so each may arrive
-any number of times and in any order. The table's transitions are the product's own code.
+One key, two attempts at two entries. Messages never disappear from the network, so each may arrive
+any number of times and in any order. The transitions of the table are crowsill's own code.
 """
 
 import msgspec
@@ -19,11 +19,11 @@
 
 ATTEMPTS = ("first", "second")
 _KEY = ClaimKey("tenant", "service", "key")
-_ANSWER = RecordedResponse(200, "text/plain", b"")
+_RESPONSE = RecordedResponse(200, "text/plain", b"")
 _RETENTION_S = 1e9
 
 # Phases of an attempt at its entry.
-IDLE, ASKING, GRANTED, RUNNING, ANSWERED, GIVEN_UP, CRASHED, REFUSED = range(8)
+IDLE, OPENING, GRANTED, RUNNING, ANSWERED, UNKNOWN, CRASHED, REJECTED = range(8)
 
 State = tuple[object, ...]
 Step = tuple[str, State]
@@ -33,13 +33,12 @@
     """One state of the model.
 
     Attributes:
-        claim: The encoded claim in the table; empty when there is none.
+        claim: The encoded claim in the table; empty if there is none.
         phases: Phase of each attempt.
         opened: Attempts whose open command is in the network.
         settled: Settlements in the network, as `attempt:settlement`.
-        abandoned: Entries that were declared vanished.
-        executions: How often the back end ran the request.
-        told_not_run: Attempts whose caller was told "not run".
+        executions: Number of times the back end ran each attempt.
+        reported_not_run: Attempts that were reported to the caller as "not run".
     """
 
     claim: bytes
@@ -47,10 +46,10 @@
     opened: frozenset[str]
     settled: frozenset[str]
     executions: tuple[int, ...]
-    told_not_run: frozenset[str]
+    reported_not_run: frozenset[str]
 
     def key(self) -> State:
-        """The state as the checker's tuple."""
+        """Return the state as a tuple for the checker."""
         return msgspec.structs.astuple(self)
 
 
@@ -71,7 +70,7 @@
     return msgspec.structs.replace(state, phases=phases)
 
 
-def _settling(state: ClaimsState, attempt: str, settlement: ClaimSettlement) -> ClaimsState:
+def _with_settlement(state: ClaimsState, attempt: str, settlement: ClaimSettlement) -> ClaimsState:
     settled = state.settled | {f"{attempt}:{settlement}"}
     return msgspec.structs.replace(state, settled=settled)
 
@@ -81,25 +80,27 @@
     steps: list[tuple[str, ClaimsState]] = []
     if phase == IDLE:
         asked = msgspec.structs.replace(state, opened=state.opened | {attempt})
-        steps.append(("ask", _with_phase(asked, index, ASKING)))
-    if phase == ASKING:
-        # The entry gives up waiting: it will not dispatch, and says so for this attempt only.
-        left = _settling(state, attempt, ClaimSettlement.NOT_RUN)
-        steps.append(("give up", _with_phase(left, index, REFUSED)))
+        steps.append(("open", _with_phase(asked, index, OPENING)))
+    if phase == OPENING:
+        # The entry stops waiting. It will not dispatch, and reports that for this attempt only.
+        left = _with_settlement(state, attempt, ClaimSettlement.NOT_RUN)
+        steps.append(("give up", _with_phase(left, index, REJECTED)))
     if phase == GRANTED:
         counts = list(state.executions)
         counts[index] += 1
         ran = msgspec.structs.replace(state, executions=tuple(counts))
         steps.append(("run", _with_phase(ran, index, RUNNING)))
-        refused = _settling(state, attempt, ClaimSettlement.NOT_RUN)
-        told = msgspec.structs.replace(refused, told_not_run=state.told_not_run | {attempt})
-        steps.append(("refuse", _with_phase(told, index, REFUSED)))
+        rejected = _with_settlement(state, attempt, ClaimSettlement.NOT_RUN)
+        reported = msgspec.structs.replace(
+            rejected, reported_not_run=state.reported_not_run | {attempt}
+        )
+        steps.append(("reject", _with_phase(reported, index, REJECTED)))
     if phase == RUNNING:
-        done = _settling(state, attempt, ClaimSettlement.ANSWERED)
-        steps.append(("answer", _with_phase(done, index, ANSWERED)))
-        lost = _settling(state, attempt, ClaimSettlement.UNKNOWN)
-        steps.append(("lose answer", _with_phase(lost, index, GIVEN_UP)))
-    if phase in (ASKING, GRANTED, RUNNING):
+        done = _with_settlement(state, attempt, ClaimSettlement.ANSWERED)
+        steps.append(("respond", _with_phase(done, index, ANSWERED)))
+        lost = _with_settlement(state, attempt, ClaimSettlement.UNKNOWN)
+        steps.append(("lose response", _with_phase(lost, index, UNKNOWN)))
+    if phase in (OPENING, GRANTED, RUNNING):
         steps.append(("crash", _with_phase(state, index, CRASHED)))
     return steps
 
@@ -109,8 +110,8 @@
     table = _table(state.claim)
     result = table.open(OpenClaim(_KEY, b"f", attempt, attempt, 0.0))
     new = msgspec.structs.replace(state, claim=_dump(table))
-    # The reply may be lost: the caller of this function keeps the state without it, too.
-    if result.decision is ClaimDecision.GRANTED and state.phases[index] == ASKING:
+    # The response may be lost: the calling function also keeps the state without it.
+    if result.decision is ClaimDecision.GRANTED and state.phases[index] == OPENING:
         return _with_phase(new, index, GRANTED)
     return new
 
@@ -119,8 +120,8 @@
     attempt, _, settlement = message.partition(":")
     table = _table(state.claim)
     kind = ClaimSettlement(settlement)
-    answer = _ANSWER if kind is ClaimSettlement.ANSWERED else None
-    table.settle(SettleClaim(_KEY, attempt, kind, answer, 0.0))
+    response = _RESPONSE if kind is ClaimSettlement.ANSWERED else None
+    table.settle(SettleClaim(_KEY, attempt, kind, response, 0.0))
     return msgspec.structs.replace(state, claim=_dump(table))
 
 
@@ -128,7 +129,7 @@
     table = _table(state.claim)
     attempt = ATTEMPTS[index]
     if broken:
-        # The broken variant takes a vanished entry's claim as not run.
+        # The broken variant settles the claim of an entry that is gone as not run.
         table.settle(SettleClaim(_KEY, attempt, ClaimSettlement.NOT_RUN, None, 0.0))
     else:
         table.abandon({attempt})
@@ -143,7 +144,7 @@
             opened = _open(state, index)
             steps.append((f"open {attempt}", opened))
             lost = msgspec.structs.replace(opened, phases=state.phases)
-            steps.append((f"open {attempt}, reply lost", lost))
+            steps.append((f"open {attempt}, response lost", lost))
         if state.phases[index] == CRASHED:
             steps.append((f"abandon {attempt}", _abandon(state, index, broken)))
     for message in sorted(state.settled):
@@ -152,7 +153,7 @@
 
 
 def protocol(broken: bool) -> Protocol:
-    """Return the model; the broken variant releases the claims of vanished entries."""
+    """Return the model; the broken variant releases the claims of entries that are gone."""
 
     def transitions(key: State) -> list[Step]:
         state = ClaimsState(*key)  # type: ignore[arg-type]
@@ -169,7 +170,7 @@
             "a key runs at most once": lambda state: sum(state["executions"]) <= 1,
             "not run was not run": lambda state: all(
                 state["executions"][ATTEMPTS.index(attempt)] == 0
-                for attempt in state["told_not_run"]
+                for attempt in state["reported_not_run"]
             ),
         },
     )
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -1,6 +1,6 @@
-"""Two operators race on one base revision, resend, and an entry follows.
+"""Two operators submit and resend changes of one base revision, and an entry follows.
 
-The decision is the product's own `ConfigurationStore`; the broken variants leave out a check.
+crowsill's own `ConfigurationStore` decides on the changes; the broken variants omit a check.
 """
 
 import msgspec
@@ -26,16 +26,16 @@
 
     Attributes:
         accepted: Accepted changes in order, as `operator:base`.
-        sent: Changes in the network for ever; each may arrive again.
-        told: Revisions an operator was told for a change, as `operator:base:revision`.
-        entry: Revision the entry serves.
-        highest: Highest revision the entry ever served.
-        updates: Revisions on their way to the entry.
+        sent: Changes in the network, which never disappear; each may arrive again.
+        acknowledged: Revisions acknowledged for a change, as `operator:base:revision`.
+        entry: Revision that the entry serves.
+        highest: Highest revision that the entry ever served.
+        updates: Revisions in transit to the entry.
     """
 
     accepted: tuple[str, ...]
     sent: frozenset[str]
-    told: frozenset[str]
+    acknowledged: frozenset[str]
     entry: int
     highest: int
     updates: frozenset[int]
@@ -64,14 +64,16 @@
             change, change_id=fresh, base_revision=store.current.revision
         )
     result = store.submit(change, 0.0)
-    told = state.told
+    acknowledged = state.acknowledged
     accepted = state.accepted
     if result.decision is ConfigurationDecision.ACCEPTED:
         accepted = (*accepted, name)
     if result.decision in (ConfigurationDecision.ACCEPTED, ConfigurationDecision.REPEATED):
-        told = told | {f"{name}:{result.revision}"}
+        acknowledged = acknowledged | {f"{name}:{result.revision}"}
     updates = state.updates | {len(accepted)}
-    return msgspec.structs.replace(state, accepted=accepted, told=told, updates=updates)
+    return msgspec.structs.replace(
+        state, accepted=accepted, acknowledged=acknowledged, updates=updates
+    )
 
 
 def _adopt(state: RaceState, revision: int, adopts_any: bool) -> RaceState:
@@ -97,12 +99,12 @@
     return steps
 
 
-def _one_revision_a_change(state: dict[str, frozenset[str]]) -> bool:
-    told = [item.rpartition(":")[0] for item in state["told"]]
-    return len(told) == len(set(told))
+def _one_revision_per_change(state: dict[str, frozenset[str]]) -> bool:
+    acknowledged = [item.rpartition(":")[0] for item in state["acknowledged"]]
+    return len(acknowledged) == len(set(acknowledged))
 
 
-def _one_winner_a_base(state: dict[str, tuple[str, ...]]) -> bool:
+def _one_winner_per_base(state: dict[str, tuple[str, ...]]) -> bool:
     bases = [name.partition(":")[2] for name in state["accepted"]]
     return len(bases) == len(set(bases))
 
@@ -112,7 +114,7 @@
 
     Args:
         ignores_identity: Broken variant: a resend counts as a new change.
-        adopts_any: Broken variant: the entry adopts whatever arrives.
+        adopts_any: Broken variant: the entry adopts every revision that arrives.
     """
 
     def transitions(key: State) -> list[tuple[str, State]]:
@@ -128,8 +130,8 @@
         initial=msgspec.structs.astuple(initial),
         transitions=transitions,
         invariants={
-            "a change has one revision": _one_revision_a_change,
-            "a base has one winner": _one_winner_a_base,
+            "a change has one revision": _one_revision_per_change,
+            "a base has one winner": _one_winner_per_base,
             "an entry never goes back": lambda state: state["entry"] == state["highest"],
         },
     )
--- a/spec/election.py
+++ b/spec/election.py
@@ -1,6 +1,6 @@
-"""Election and commitment among three members that crash, with messages lost or late.
+"""Election and commit among three members that crash, with lost or delayed messages.
 
-Small bounds: the terms of `RIVALS`, one entry a leader. The comparison of logs is the product's
+The model is bounded: the terms of `RIVALS`, one entry per leader. Logs are compared by crowsill's
 `RaftLog.is_up_to_date`. The broken variants lose the vote at a crash, or vote for any log.
 """
 
@@ -13,7 +13,7 @@
 MEMBERS = (0, 1, 2)
 QUORUM = 2
 FOLLOWER, CANDIDATE, LEADER = range(3)
-# Who may campaign for each term.
+# Members that may campaign for each term.
 RIVALS = {1: (0, 1), 2: (0, 1, 2), 3: (0, 1, 2)}
 
 State = tuple[object, ...]
@@ -23,9 +23,9 @@
     """One member.
 
     Attributes:
-        term: Its term, durable.
-        voted_for: Its vote in that term, durable; -1 for none.
-        log: Terms of its entries, durable.
+        term: Durable term.
+        voted_for: Durable vote in that term; -1 for none.
+        log: Terms of the durable entries.
         role: Follower, candidate or leader; volatile.
     """
 
@@ -39,9 +39,9 @@
     """One state of the model.
 
     Attributes:
-        members: The members, encoded.
-        leaders: Who ever led, as (term, member).
-        committed: Logs that were committed, each with the term of the commit.
+        members: The encoded members.
+        leaders: All leaders so far, as (term, member).
+        committed: Committed logs, each with the term of the commit.
     """
 
     members: tuple[tuple[int, int, tuple[int, ...], int], ...]
@@ -78,16 +78,16 @@
     asked, member = _member(state, candidate), _member(state, voter)
     if asked.role != CANDIDATE or asked.term < member.term:
         return None
-    free = asked.term > member.term or member.voted_for in (-1, candidate)
+    may_vote = asked.term > member.term or member.voted_for in (-1, candidate)
     last_term = asked.log[-1] if asked.log else 0
     up_to_date = _raft_log(member.log).is_up_to_date(len(asked.log), last_term)
-    if not free or not (up_to_date or any_log):
+    if not may_vote or not (up_to_date or any_log):
         return None
     return _with(state, voter, MemberState(asked.term, candidate, member.log, FOLLOWER))
 
 
 def _win(state: GroupState, index: int) -> GroupState:
-    """Lead with the own vote and one more; a late reply equals a leader that acts late."""
+    """Lead with two votes; a delayed response is equivalent to a leader that acts later."""
     member = _member(state, index)
     log = (*member.log, member.term)
     new = _with(state, index, MemberState(member.term, index, log, LEADER))
@@ -134,14 +134,14 @@
         for other in MEMBERS:
             if other != index:
                 voted = _vote(state, other, index, any_log)
-                steps.append((f"{other} votes for {index}, reply lost", voted))
+                steps.append((f"{other} votes for {index}, response lost", voted))
                 won = None if voted is None else _win(voted, index)
                 steps.append((f"{other} votes for {index}", won))
-                steps.append((f"{index} feeds {other}", _replicate(state, index, other)))
+                steps.append((f"{index} replicates to {other}", _replicate(state, index, other)))
     return steps
 
 
-def _one_leader_a_term(state: dict[str, frozenset[tuple[int, int]]]) -> bool:
+def _one_leader_per_term(state: dict[str, frozenset[tuple[int, int]]]) -> bool:
     terms = [term for term, _ in state["leaders"]]
     return len(terms) == len(set(terms))
 
@@ -161,8 +161,8 @@
     """Return the model.
 
     Args:
-        loses_vote: Broken variant: the vote is not synced before it is given.
-        any_log: Broken variant: candidates with shorter logs get votes.
+        loses_vote: Broken variant: the vote is not durable before it is granted.
+        any_log: Broken variant: candidates with outdated logs get votes.
     """
 
     def transitions(key: State) -> list[tuple[str, State]]:
@@ -170,8 +170,8 @@
         found = _steps(state, loses_vote, any_log)
         return [(label, msgspec.structs.astuple(new)) for label, new in found if new is not None]
 
-    blank = (0, -1, (), FOLLOWER)
-    initial = GroupState((blank, blank, blank), frozenset(), frozenset())
+    initial_member = (0, -1, (), FOLLOWER)
+    initial = GroupState((initial_member, initial_member, initial_member), frozenset(), frozenset())
     return Protocol(
         name="election",
         candidate=False,
@@ -179,7 +179,7 @@
         initial=msgspec.structs.astuple(initial),
         transitions=transitions,
         invariants={
-            "one leader a term": _one_leader_a_term,
+            "one leader a term": _one_leader_per_term,
             "later leaders hold what is committed": _leaders_hold_committed,
         },
     )
--- a/spec/orders.py
+++ b/spec/orders.py
@@ -1,8 +1,8 @@
-"""Orders to one engine with lost, late and repeated copies, a restart and a change of leader.
+"""Orders to one engine with lost, delayed and duplicated messages, a restart and a new leader.
 
-The accelerator has room for one of two models. Copies of orders stay in the network until they die,
-and may arrive any number of times before. Whether an order is settled is decided by the product's
-`settlement_of`, and room by its `MemoryLedger`.
+The accelerator has memory for one of two models. Messages with orders stay in the network until
+they are dropped, and may arrive any number of times before. crowsill's `settlement_of` decides
+whether an order is settled, and its `MemoryLedger` whether memory is free.
 """
 
 import msgspec
@@ -29,30 +29,31 @@
     """One state of the model; an order is (id, kind, model, incarnation).
 
     Attributes:
-        resident: Models on the engine.
-        fence: Newest order the engine has taken.
+        resident: Loaded models of the engine.
+        fence: Newest order that the engine has accepted.
         incarnation: Restarts of the engine.
         outstanding: Unsettled orders.
-        copies: Copies in the network.
-        acknowledged: Orders the present leader knows to be taken.
-        view: Models in the newest report the leader has.
-        view_incarnation: Incarnation in that report.
-        quiet: Outstanding orders of which no copy was left when that report was made.
-        fresh: Whether that report is newer than everything an earlier leader acted on.
+        in_transit: Orders in the network.
+        acknowledged: Orders that the engine has accepted, as far as the current leader knows.
+        reported: Models in the newest report that the leader has.
+        reported_incarnation: Incarnation in that report.
+        without_duplicates: Outstanding orders of which no duplicate was in transit at the time of
+            that report.
+        fresh: Whether that report is newer than all reports that earlier leaders acted on.
         next_id: Id of the next order.
-        leaders: Leaders so far.
-        overcommitted: Whether a load found no room.
+        leaders: Number of leaders so far.
+        overcommitted: Whether a load exceeded the memory.
     """
 
     resident: tuple[str, ...] = ()
     fence: int = 0
     incarnation: int = 0
     outstanding: tuple[OrderKey, ...] = ()
-    copies: frozenset[OrderKey] = frozenset()
+    in_transit: frozenset[OrderKey] = frozenset()
     acknowledged: frozenset[int] = frozenset()
-    view: tuple[str, ...] = ()
-    view_incarnation: int = 0
-    quiet: frozenset[int] = frozenset()
+    reported: tuple[str, ...] = ()
+    reported_incarnation: int = 0
+    without_duplicates: frozenset[int] = frozenset()
     fresh: bool = True
     next_id: int = 1
     leaders: int = 1
@@ -60,11 +61,11 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """What is modelled.
+    """A variant of the model.
 
     Attributes:
         engine_checks: Whether the engine checks fences.
-        believed_to_check: Whether the system believes so.
+        believed_to_check: Whether the control plane assumes that the engine checks fences.
         waits_for_fresh: Whether a new leader waits for a fresh report.
         counts_outstanding: Whether unsettled orders count as memory.
     """
@@ -82,7 +83,7 @@
 def _has_room(state: OrdersState, variant: Variant, model: str) -> bool:
     ledger = MemoryLedger()
     ledger.open(ENGINE, CAPACITY_MIB)
-    for resident in state.view:
+    for resident in state.reported:
         ledger.observe(ENGINE, resident, 1)
     if variant.counts_outstanding:
         for _, _, ordered, _ in state.outstanding:
@@ -100,10 +101,10 @@
     for model in MODELS:
         if model in ordered:
             continue
-        kind = OrderKind.UNLOAD if model in state.view else OrderKind.LOAD
+        kind = OrderKind.UNLOAD if model in state.reported else OrderKind.LOAD
         if kind is OrderKind.LOAD and not _has_room(state, variant, model):
             continue
-        order = (state.next_id, str(kind), model, state.view_incarnation)
+        order = (state.next_id, str(kind), model, state.reported_incarnation)
         placed = _change(state, outstanding=(*state.outstanding, order), next_id=state.next_id + 1)
         steps.append((f"place {kind} {model}", placed))
     return steps
@@ -113,7 +114,11 @@
     """Send the oldest order that is not acknowledged."""
     for order in state.outstanding:
         if order[0] not in state.acknowledged:
-            sent = _change(state, copies=state.copies | {order}, quiet=state.quiet - {order[0]})
+            sent = _change(
+                state,
+                in_transit=state.in_transit | {order},
+                without_duplicates=state.without_duplicates - {order[0]},
+            )
             return [(f"send {order[0]}", sent)]
     return []
 
@@ -122,10 +127,10 @@
     state: OrdersState, variant: Variant, order: OrderKey
 ) -> list[tuple[str, OrdersState]]:
     order_id, kind, model, incarnation = order
-    refused = incarnation != state.incarnation or order_id < state.fence
+    rejected = incarnation != state.incarnation or order_id < state.fence
     acknowledged = _change(state, acknowledged=state.acknowledged | {order_id})
-    if variant.engine_checks and refused:
-        # A stale reply counts as taken; one for another incarnation tells nothing.
+    if variant.engine_checks and rejected:
+        # A rejection as stale counts as accepted; one for another incarnation proves nothing.
         same = incarnation == state.incarnation
         return [(f"stale {order_id}", acknowledged)] if same else []
     resident = set(state.resident)
@@ -136,14 +141,14 @@
         overcommitted = True
     else:
         resident.add(model)
-    taken = _change(
+    accepted = _change(
         state,
         resident=tuple(sorted(resident)),
         fence=max(state.fence, order_id),
         overcommitted=overcommitted,
     )
-    told = _change(taken, acknowledged=acknowledged.acknowledged)
-    return [(f"take {order_id}", told), (f"take {order_id}, reply lost", taken)]
+    replied = _change(accepted, acknowledged=acknowledged.acknowledged)
+    return [(f"accept {order_id}", replied), (f"accept {order_id}, response lost", accepted)]
 
 
 def _settle(state: OrdersState, variant: Variant) -> list[tuple[str, OrdersState]]:
@@ -154,9 +159,9 @@
         order_id, kind, model, incarnation = key
         order = Order(order_id, ENGINE, str(incarnation), OrderKind(kind), model, 1, 1, 0.0)
         evidence = OrderEvidence(
-            report=ReplicaReport(str(state.view_incarnation), list(state.view)),
+            report=ReplicaReport(str(state.reported_incarnation), list(state.reported)),
             checks_fence=variant.believed_to_check,
-            copies_are_gone=order_id in state.quiet,
+            copies_are_gone=order_id in state.without_duplicates,
             refused=False,
         )
         if settlement_of(order, evidence) is not Settlement.OPEN:
@@ -165,26 +170,33 @@
     return steps
 
 
-def _surroundings(state: OrdersState) -> list[tuple[str, OrdersState]]:
-    seen = _change(state, view=state.resident, view_incarnation=state.incarnation, fresh=True)
-    steps = [("report", seen)]
+def _environment_steps(state: OrdersState) -> list[tuple[str, OrdersState]]:
+    updated = _change(
+        state, reported=state.resident, reported_incarnation=state.incarnation, fresh=True
+    )
+    steps = [("report", updated)]
     if state.incarnation < MAX_RESTARTS:
         restarted = _change(state, resident=(), fence=0, incarnation=state.incarnation + 1)
         steps.append(("restart", restarted))
     if state.leaders < MAX_LEADERS:
-        # The new leader's first report may be the oldest one under way: the empty start.
+        # The new leader's first report may be the oldest one in transit, which is empty.
         taken_over = _change(
             state,
             leaders=state.leaders + 1,
             acknowledged=frozenset(),
-            view=(),
-            view_incarnation=0,
-            quiet=frozenset(),
+            reported=(),
+            reported_incarnation=0,
+            without_duplicates=frozenset(),
             fresh=False,
         )
         steps.append(("new leader", taken_over))
-    for copy in state.copies:
-        steps.append((f"copy {copy[0]} dies", _change(state, copies=state.copies - {copy})))
+    for duplicate in state.in_transit:
+        steps.append(
+            (
+                f"duplicate {duplicate[0]} is dropped",
+                _change(state, in_transit=state.in_transit - {duplicate}),
+            )
+        )
     return steps
 
 
@@ -194,9 +206,9 @@
     def transitions(key: State) -> list[tuple[str, State]]:
         state = OrdersState(*key)  # type: ignore[arg-type]
         found = _place(state, variant) + _send(state) + _settle(state, variant)
-        found += _surroundings(state)
-        for copy in sorted(state.copies):
-            found += _deliver(state, variant, copy)
+        found += _environment_steps(state)
+        for duplicate in sorted(state.in_transit):
+            found += _deliver(state, variant, duplicate)
         return [(label, msgspec.structs.astuple(new)) for label, new in found]
 
     return Protocol(
--- a/spec/replacement.py
+++ b/spec/replacement.py
@@ -1,7 +1,7 @@
-"""A member loses its disk and is replaced, while another member may fail right after.
+"""A member loses its disk and is replaced, and another member may fail right after.
 
-Three members hold one committed entry on a majority. A member's disk is lost. It may come back
-only under a new identity, as a learner without a vote, and is promoted once it holds the log.
+Three members have one committed entry on a majority. One member's disk is lost. The member may
+return only under a new identity, as a learner without a vote, and is promoted when it has the log.
 """
 
 import msgspec
@@ -16,22 +16,22 @@
     """One state of the model.
 
     Attributes:
-        holds: Whether each member's disk holds the committed entry.
-        votes: Whether each member counts as a voter with its present identity.
+        holds: Whether each member's disk has the committed entry.
+        votes: Whether each member is a voter under its current identity.
         up: Whether each member runs.
-        lost: Disks lost so far.
-        reported_whole: Whether the operator was told that the group is whole again.
-        lost_after_whole: Whether a second machine was lost after that report.
-        elected_without: Whether a leader without the entry could be elected.
+        lost: Number of disks lost so far.
+        reported_full: Whether the operator got the report that the group is full again.
+        lost_after_report: Whether a second disk was lost after that report.
+        elected_without_entry: Whether a leader without the entry could be elected.
     """
 
     holds: tuple[bool, ...]
     votes: tuple[bool, ...]
     up: tuple[bool, ...]
     lost: int
-    reported_whole: bool
-    lost_after_whole: bool
-    elected_without: bool
+    reported_full: bool
+    lost_after_report: bool
+    elected_without_entry: bool
 
 
 def _set(values: tuple[bool, ...], index: int, value: bool) -> tuple[bool, ...]:
@@ -39,19 +39,19 @@
 
 
 def _lose_disk(state: ReplacementState, index: int, same_identity: bool) -> ReplacementState:
-    """A second loss is only survivable once the group is whole again."""
+    """Lose a disk; the group survives a second loss only after it is full again."""
     return msgspec.structs.replace(
         state,
         holds=_set(state.holds, index, False),
         votes=_set(state.votes, index, same_identity),
         lost=state.lost + 1,
-        lost_after_whole=state.reported_whole,
-        reported_whole=False,
+        lost_after_report=state.reported_full,
+        reported_full=False,
     )
 
 
 def _can_elect(state: ReplacementState, index: int) -> bool:
-    """Whether a member without the entry gets a majority of the three voters."""
+    """Return whether a member without the entry can get a majority of the three voters."""
     if not (state.up[index] and state.votes[index]) or state.holds[index]:
         return False
     willing = [
@@ -70,7 +70,7 @@
         index for index in MEMBERS if state.up[index] and state.votes[index] and state.holds[index]
     ]
     for index in MEMBERS:
-        may_lose = state.lost == 0 or (state.lost == 1 and state.reported_whole)
+        may_lose = state.lost == 0 or (state.lost == 1 and state.reported_full)
         if may_lose:
             steps.append((f"lose disk {index}", _lose_disk(state, index, same_identity)))
         up = _set(state.up, index, not state.up[index])
@@ -78,17 +78,20 @@
         if voters_with_entry and state.up[index] and not state.holds[index]:
             holds = _set(state.holds, index, True)
             steps.append((f"catch up {index}", msgspec.structs.replace(state, holds=holds)))
-        # Promotion is a membership change: a majority of voters must be up and a leader hold all.
+        # Promotion is a membership change: it needs a majority of voters that are up, and a leader
+        # with the entry.
         voters_up = [other for other in MEMBERS if state.up[other] and state.votes[other]]
         ready = state.holds[index] or promotes_early
         if not state.votes[index] and ready and voters_with_entry and len(voters_up) >= 2:
             votes = _set(state.votes, index, True)
             steps.append((f"promote {index}", msgspec.structs.replace(state, votes=votes)))
         if _can_elect(state, index):
-            steps.append((f"elect {index}", msgspec.structs.replace(state, elected_without=True)))
-    whole = all(state.votes) and all(state.holds)
-    if state.lost and whole:
-        steps.append(("report whole", msgspec.structs.replace(state, reported_whole=True)))
+            steps.append(
+                (f"elect {index}", msgspec.structs.replace(state, elected_without_entry=True))
+            )
+    is_full = all(state.votes) and all(state.holds)
+    if state.lost and is_full:
+        steps.append(("report full", msgspec.structs.replace(state, reported_full=True)))
     return steps
 
 
@@ -96,8 +99,8 @@
     """Return the model.
 
     Args:
-        same_identity: Broken variant: an emptied disk votes under its old identity.
-        promotes_early: Broken variant: a learner gets its vote before it holds the log.
+        same_identity: Broken variant: a member with an empty disk votes under its old identity.
+        promotes_early: Broken variant: a learner becomes a voter before it has the log.
     """
 
     def transitions(key: State) -> list[tuple[str, State]]:
@@ -110,9 +113,9 @@
         votes=(True, True, True),
         up=(True, True, True),
         lost=0,
-        reported_whole=False,
-        lost_after_whole=False,
-        elected_without=False,
+        reported_full=False,
+        lost_after_report=False,
+        elected_without_entry=False,
     )
     return Protocol(
         name="replacement",
@@ -121,6 +124,6 @@
         initial=msgspec.structs.astuple(initial),
         transitions=transitions,
         invariants={
-            "no leader lacks a committed entry": lambda state: not state["elected_without"]
+            "no leader lacks a committed entry": lambda state: not state["elected_without_entry"]
         },
     )
--- a/spec/restarts.py
+++ b/spec/restarts.py
@@ -1,9 +1,9 @@
 """Leases and elections among three members that restart.
 
-A heartbeat that a majority has answered gives its leader a lease. A member that restarts may have
-answered one just before, so it gives no vote for as long as a lease lasts. Where every voter has
-restarted since, the leader's process has ended and its lease with it: they elect at once.
-The broken variant lets a majority of restarted voters do so.
+A heartbeat acknowledged by a majority gives the leader a lease. A restarted member may have
+acknowledged one just before, so it rejects votes for the duration of a lease. If every voter has
+restarted, the leader's process and its lease have ended, and the voters elect at once. In the
+broken variant a majority of restarted voters elects at once.
 """
 
 from typing import TypeVar
@@ -27,23 +27,24 @@
     """One state of the model.
 
     Attributes:
-        now: The clock.
-        terms: Term of each member, durable.
-        refuses_until: Clock until which each member gives no vote.
-        anew: Whether each member has neither led nor heard a leader since it started.
+        now: Current time.
+        terms: Durable term of each member.
+        rejects_votes_until: Time until which each member rejects vote requests.
+        no_leader_since_start: Whether each member has neither led nor had leader contact since it
+            started.
         leads: Whether each member believes that it leads.
-        lease_until: Clock until which each member's lease holds; -1 without one.
+        lease_until: Time until which each member's lease is valid; -1 without a lease.
     """
 
     now: int = 0
     terms: tuple[int, ...] = (0, 0, 0)
-    refuses_until: tuple[int, ...] = (0, 0, 0)
-    anew: tuple[bool, ...] = (False, False, False)
+    rejects_votes_until: tuple[int, ...] = (0, 0, 0)
+    no_leader_since_start: tuple[bool, ...] = (False, False, False)
     leads: tuple[bool, ...] = (False, False, False)
     lease_until: tuple[int, ...] = (NEVER, NEVER, NEVER)
 
 
-def _put(values: tuple[Value, ...], index: int, value: Value) -> tuple[Value, ...]:
+def _replaced(values: tuple[Value, ...], index: int, value: Value) -> tuple[Value, ...]:
     return (*values[:index], value, *values[index + 1 :])
 
 
@@ -51,30 +52,30 @@
     return GroupState(
         state.now,
         state.terms,
-        _put(state.refuses_until, index, state.now + LEASE_TICKS),
-        _put(state.anew, index, True),
-        _put(state.leads, index, False),
-        _put(state.lease_until, index, NEVER),
+        _replaced(state.rejects_votes_until, index, state.now + LEASE_TICKS),
+        _replaced(state.no_leader_since_start, index, True),
+        _replaced(state.leads, index, False),
+        _replaced(state.lease_until, index, NEVER),
     )
 
 
 def _heartbeat(state: GroupState, leader: int, follower: int) -> GroupState | None:
-    """A follower answers a heartbeat at once: with the leader it is a majority."""
+    """A follower acknowledges a heartbeat at once, and forms a majority with the leader."""
     if not state.leads[leader] or state.terms[follower] > state.terms[leader]:
         return None
     until = state.now + LEASE_TICKS
     return GroupState(
         state.now,
-        _put(state.terms, follower, state.terms[leader]),
-        _put(_put(state.refuses_until, leader, until), follower, until),
-        _put(_put(state.anew, leader, False), follower, False),
-        _put(state.leads, follower, False),
-        _put(state.lease_until, leader, until),
+        _replaced(state.terms, follower, state.terms[leader]),
+        _replaced(_replaced(state.rejects_votes_until, leader, until), follower, until),
+        _replaced(_replaced(state.no_leader_since_start, leader, False), follower, False),
+        _replaced(state.leads, follower, False),
+        _replaced(state.lease_until, leader, until),
     )
 
 
 def _elect(state: GroupState, index: int, voters: tuple[int, ...]) -> GroupState | None:
-    """A member becomes the leader by these votes; none of the voters leads any more."""
+    """Make a member the leader by these votes; none of the voters leads any longer."""
     term = state.terms[index] + 1
     if term > LAST_TERM or any(state.terms[voter] >= term for voter in voters):
         return None
@@ -82,8 +83,8 @@
     return GroupState(
         state.now,
         tuple(term if member in voters else state.terms[member] for member in members),
-        state.refuses_until,
-        _put(state.anew, index, False),
+        state.rejects_votes_until,
+        _replaced(state.no_leader_since_start, index, False),
         tuple(
             member == index or (state.leads[member] and member not in voters) for member in members
         ),
@@ -94,13 +95,18 @@
 def _elections(state: GroupState, majority_suffices: bool) -> list[tuple[str, GroupState | None]]:
     found: list[tuple[str, GroupState | None]] = []
     for index in MEMBERS:
-        willing = tuple(item for item in MEMBERS if state.refuses_until[item] <= state.now)
+        willing = tuple(item for item in MEMBERS if state.rejects_votes_until[item] <= state.now)
         if index in willing and len(willing) >= QUORUM:
             found.append((f"{index} is elected", _elect(state, index, willing)))
-        anew = tuple(item for item in MEMBERS if state.anew[item])
+        no_leader_since_start = tuple(item for item in MEMBERS if state.no_leader_since_start[item])
         needed = QUORUM if majority_suffices else len(MEMBERS)
-        if index in anew and len(anew) >= needed:
-            found.append((f"{index} is elected by restarted voters", _elect(state, index, anew)))
+        if index in no_leader_since_start and len(no_leader_since_start) >= needed:
+            found.append(
+                (
+                    f"{index} is elected by restarted voters",
+                    _elect(state, index, no_leader_since_start),
+                )
+            )
     return found
 
 
@@ -128,7 +134,9 @@
             steps.append((f"{index} restarts", _restart(state, index)))
             for other in MEMBERS:
                 if other != index:
-                    steps.append((f"{index} is heard by {other}", _heartbeat(state, index, other)))
+                    steps.append(
+                        (f"{index} sends a heartbeat to {other}", _heartbeat(state, index, other))
+                    )
         return [(label, msgspec.structs.astuple(new)) for label, new in steps if new is not None]
 
     return Protocol(
