--- a/spec/orders.py
+++ b/spec/orders.py
@@ -37,7 +37,7 @@
         acknowledged: Orders that the engine has accepted, as far as the current leader knows.
         reported: Models in the newest report that the leader has.
         reported_incarnation: Incarnation in that report.
-        without_duplicates: Outstanding orders of which no duplicate was in transit at the time of
+        not_in_transit: Outstanding orders of which no duplicate was in transit at the time of
             that report.
         fresh: Whether that report is newer than all reports that earlier leaders acted on.
         next_id: Id of the next order.
@@ -53,7 +53,7 @@
     acknowledged: frozenset[int] = frozenset()
     reported: tuple[str, ...] = ()
     reported_incarnation: int = 0
-    without_duplicates: frozenset[int] = frozenset()
+    not_in_transit: frozenset[int] = frozenset()
     fresh: bool = True
     next_id: int = 1
     leaders: int = 1
@@ -117,7 +117,7 @@
             sent = _change(
                 state,
                 in_transit=state.in_transit | {order},
-                without_duplicates=state.without_duplicates - {order[0]},
+                not_in_transit=state.not_in_transit - {order[0]},
             )
             return [(f"send {order[0]}", sent)]
     return []
@@ -161,7 +161,7 @@
         evidence = OrderEvidence(
             report=ReplicaReport(str(state.reported_incarnation), list(state.reported)),
             checks_fence=variant.believed_to_check,
-            has_no_copy_in_flight=order_id in state.without_duplicates,
+            has_no_copy_in_flight=order_id in state.not_in_transit,
             rejected=False,
         )
         if settlement_of(order, evidence) is not Settlement.OPEN:
@@ -186,7 +186,7 @@
             acknowledged=frozenset(),
             reported=(),
             reported_incarnation=0,
-            without_duplicates=frozenset(),
+            not_in_transit=frozenset(),
             fresh=False,
         )
         steps.append(("new leader", taken_over))
--- a/src/crowsill/consensus/types.py
+++ b/src/crowsill/consensus/types.py
@@ -34,8 +34,8 @@
     Attributes:
         election_timeout_s: Minimum time without leader contact before a member campaigns; also the
             time after leader contact during which a member rejects vote requests.
-        initial_election_timeout_s: Shortest time between campaigns of a member that has heard no
-            leader since it started.
+        initial_election_timeout_s: Minimum time before a campaign of a member that has had no
+            leader contact since it started.
         heartbeat_s: Maximum time between two append requests of a leader to one follower.
         clock_drift: Maximum relative difference between the clock rates of two members; shortens
             the lease.
--- a/src/crowsill/model/configuration.py
+++ b/src/crowsill/model/configuration.py
@@ -164,7 +164,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The whole configuration at one revision. Revision 0 is empty."""
+    """The full configuration at one revision. Revision 0 is empty."""
 
     revision: int = 0
     templates: dict[str, Template] = {}
--- a/src/crowsill/model/fleet.py
+++ b/src/crowsill/model/fleet.py
@@ -97,7 +97,7 @@
     Attributes:
         epoch: Term of the observing leader; numbering restarts with each epoch.
         sequence: Number of the update within the epoch.
-        full: Whether `changed` is the whole fleet.
+        full: Whether `changed` contains the full fleet.
         changed: Replicas that are new or that changed in more than their load.
         removed: Ids of replicas that are gone.
         loads: Loads that changed significantly.
--- a/src/crowsill/model/instances.py
+++ b/src/crowsill/model/instances.py
@@ -38,7 +38,7 @@
 
     Attributes:
         name: Name of the model.
-        load_s: Expected duration of the whole load.
+        load_s: Expected duration of the load, from its start.
     """
 
     name: str
--- a/src/crowsill/state/commands.py
+++ b/src/crowsill/state/commands.py
@@ -67,7 +67,7 @@
 
     Attributes:
         key: The request's identity.
-        attempt: The attempt that held the claim.
+        attempt: The attempt that owned the claim.
         settlement: How it ended.
         response: The response, if there was one that is small enough to store.
         at_s: Wall-clock time of the leader.
@@ -206,7 +206,7 @@
     """Record that a replica crashed while it ran requests.
 
     Attributes:
-        instance_id: The replica's life that ended.
+        instance_id: The incarnation that crashed.
         requests: Requests that were running on the replica.
         ago_s: Time between the crash and the proposal of this command.
     """
--- a/src/crowsill/state/configuration_store.py
+++ b/src/crowsill/state/configuration_store.py
@@ -54,7 +54,7 @@
         if faults:
             detail = "; ".join(f"{fault.path}: {fault.message}" for fault in faults)
             return ConfigurationResult(ConfigurationDecision.INVALID, revision, detail)
-        require(candidate.revision == self.current.revision + 1, "revisions rise by one")
+        require(candidate.revision == self.current.revision + 1, "revisions increase by one")
         self.current = candidate
         accepted = AcceptedChange(
             candidate.revision, change.change_id, change.author, at_s, change.content
