--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from crowsill.errors import ErrorKind
-from crowsill.gateway.admission import Admission, until_monotonic_s
+from crowsill.gateway.admission import Admission, to_monotonic_at_s
 from crowsill.gateway.attempt import AttemptEnd, AttemptResult
 from crowsill.gateway.caller_protocol import CallerConnection
 from crowsill.gateway.context import ExchangeContext
@@ -18,7 +18,7 @@
 from crowsill.gateway.progress import Progress
 from crowsill.gateway.rejection import Rejection
 from crowsill.gateway.repeat_guard import RepeatGuard
-from crowsill.gateway.replica_feedback import FAILED_STATUS
+from crowsill.gateway.replica_feedback import MIN_SERVER_ERROR_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import GatewayRoutingTable, is_urgent, pick_service
 from crowsill.gateway.selection import (
@@ -28,7 +28,7 @@
     choose,
 )
 from crowsill.gateway.sender import Sender
-from crowsill.gateway.waiting import STOPPING_RETRY_S, WaitingRequest
+from crowsill.gateway.waiting import STOPPING_RETRY_AFTER_S, WaitingRequest
 from crowsill.model.routes import Route, RouteKind
 
 RESPONSE_MARGIN_S = 0.02
@@ -101,14 +101,14 @@
             self._outcome.reject(ErrorKind.UNKNOWN_ROUTE, "no route matches host and path")
             return
         deadline_at_s = self._deadline_at_s(route)
-        rejection = await self._admission.admit(route, until_monotonic_s(deadline_at_s))
+        rejection = await self._admission.admit(route, to_monotonic_at_s(deadline_at_s))
         self._log.tenant = "" if self._admission.tenant is None else self._admission.tenant.name
         self._log.units = self._admission.units
         # Checked before the request counts as demand: quarantined requests must not cause their
         # model to be loaded on more engines.
         rejection = rejection or self._repeat_guard.quarantine_rejection()
         if rejection is not None:
-            self._admission.not_run()
+            self._admission.return_units()
             self._reject(rejection)
             return
         await self._serve_admitted(route, deadline_at_s)
@@ -130,7 +130,7 @@
             self._outcome.time_out()
         finally:
             if not self._progress.may_have_run:
-                self._admission.not_run()
+                self._admission.return_units()
 
     def _reject(self, rejection: Rejection) -> None:
         """Reject the request; as "not run" only if no replica can have run it."""
@@ -159,7 +159,7 @@
     async def _serve(self, route: Route, deadline_at_s: float) -> None:
         if self._may_outlast_process(deadline_at_s):
             detail = "the stream would outlast this process, which stops"
-            self._outcome.reject(ErrorKind.OVERLOADED, detail, STOPPING_RETRY_S)
+            self._outcome.reject(ErrorKind.OVERLOADED, detail, STOPPING_RETRY_AFTER_S)
             return
         waiting = WaitingRequest(self._context, self._request, route, self._progress, self._log)
         while True:
@@ -179,7 +179,7 @@
                 self._outcome.give_up(waiting.give_up(reason, self._admission.rank(route)))
                 return
             if self._progress.may_have_run:
-                rejection = await self._admission.charge_again(until_monotonic_s(deadline_at_s))
+                rejection = await self._admission.charge_again(to_monotonic_at_s(deadline_at_s))
                 if rejection is not None:
                     self._reject(rejection)
                     return
@@ -242,16 +242,18 @@
         if is_retry:
             self._context.budget(self._service).refund()
         if self._progress.may_have_run:
-            self._admission.not_run()
+            self._admission.return_units()
 
     async def _should_retry(self, route: Route, choice: Choice, end: AttemptEnd) -> bool:
         """Whether to send the request to another replica after this attempt."""
         progress = self._progress
         if end.result is AttemptResult.NOT_RUN:
             progress.may_have_run = progress.runs > 0
-            progress.last = end.detail
+            progress.last_failure = end.detail
             return True
-        failed_response = end.result is AttemptResult.COMPLETE and end.status >= FAILED_STATUS
+        failed_response = (
+            end.result is AttemptResult.COMPLETE and end.status >= MIN_SERVER_ERROR_STATUS
+        )
         if end.relayed or not (end.result is AttemptResult.FAILED or failed_response):
             return False
         repeatable = route.may_repeat or (route.kind is RouteKind.STREAM and route.resumable)
