--- a/src/crowsill/model/request.py
+++ b/src/crowsill/model/request.py
@@ -29,8 +29,8 @@
         body: The complete body.
         urgency: Queue in which the request waits.
         target_ms: Target for the time to the first byte.
-        deadline_s: Monotonic time after which the request is abandoned.
-        arrived_s: Monotonic time of its arrival.
+        deadline_at_s: Monotonic time after which the request is abandoned.
+        arrived_at_s: Monotonic time of its arrival.
         unsafe: Whether the request must run at most once.
         idempotency_key: The caller's idempotency key; always set if `unsafe` is true.
         streamed: Whether the response is a stream of server-sent events.
@@ -48,8 +48,8 @@
     body: bytes
     urgency: Urgency
     target_ms: int
-    deadline_s: float
-    arrived_s: float
+    deadline_at_s: float
+    arrived_at_s: float
     unsafe: bool = False
     idempotency_key: str | None = None
     streamed: bool = False
--- a/src/crowsill/pipeline/admit.py
+++ b/src/crowsill/pipeline/admit.py
@@ -130,7 +130,7 @@
         if not self.candidates.for_pool(request.pool):
             return Problem(ErrorKind.NO_REPLICA, f"no replica of pool {request.pool} is available")
         wait_s = self._estimated_wait_s(request, excluded, now_s)
-        if now_s + wait_s > request.deadline_s:
+        if now_s + wait_s > request.deadline_at_s:
             detail = f"the estimated wait of {wait_s:.1f} s passes the deadline"
             after_s = min(LONGEST_RETRY_AFTER_S, max(1, math.ceil(wait_s)))
             return Problem(ErrorKind.OVERLOADED, detail, retry_after_s=after_s)
--- a/src/crowsill/pipeline/classify.py
+++ b/src/crowsill/pipeline/classify.py
@@ -136,8 +136,8 @@
             body=request.body,
             urgency=urgency,
             target_ms=traffic_class.target_ms,
-            deadline_s=now_s + deadline_ms / 1000.0,
-            arrived_s=now_s,
+            deadline_at_s=now_s + deadline_ms / 1000.0,
+            arrived_at_s=now_s,
             unsafe=unsafe,
             idempotency_key=request.idempotency_key if unsafe else None,
         )
--- a/src/crowsill/pipeline/deduplicate.py
+++ b/src/crowsill/pipeline/deduplicate.py
@@ -120,7 +120,7 @@
         key = ClaimKey(request.tenant, request.resource, request.idempotency_key or "")
         attempt = uuid.uuid4().hex
         command = OpenClaim(key, _fingerprint(request), attempt, self._holder, 0.0)
-        deadline_s = min(request.deadline_s, monotonic_s() + CLAIM_TIMEOUT_S)
+        deadline_s = min(request.deadline_at_s, monotonic_s() + CLAIM_TIMEOUT_S)
         reply = await self._submitter.submit(SubmitCommand(command), deadline_s)
         if not isinstance(reply, Success):
             # The claim may have been committed all the same; release it once that is possible,
--- a/src/crowsill/pipeline/dispatch.py
+++ b/src/crowsill/pipeline/dispatch.py
@@ -75,7 +75,7 @@
     async def _send(
         self, request: ClassifiedRequest, slot: Slot
     ) -> Result[DispatchedAnswer, CallFailure]:
-        timeout_s = max(0.001, request.deadline_s - monotonic_s())
+        timeout_s = max(0.001, request.deadline_at_s - monotonic_s())
         replica = slot.selection.replica.description
         try:
             sent = await self._calls.send(replica, request, timeout_s)
@@ -118,7 +118,7 @@
         return excluded | {replica_id} if others else frozenset()
 
     def _may_retry(self, request: ClassifiedRequest, failure: CallFailure, attempt: int) -> bool:
-        if attempt == MAX_ATTEMPTS or monotonic_s() >= request.deadline_s:
+        if attempt == MAX_ATTEMPTS or monotonic_s() >= request.deadline_at_s:
             return False
         if request.unsafe and failure.outcome is not Outcome.NOT_RUN:
             return False
@@ -136,7 +136,7 @@
         replica=selection.replica.description.replica_id,
         reason=selection.reason,
         candidates=selection.candidates,
-        waited_ms=round((slot.started_s - request.arrived_s) * 1000, 1),
+        waited_ms=round((slot.started_s - request.arrived_at_s) * 1000, 1),
         attempt=attempt,
     )
 
--- a/src/crowsill/pipeline/pipeline.py
+++ b/src/crowsill/pipeline/pipeline.py
@@ -90,7 +90,7 @@
             if request.unsafe:
                 result: Result[Answer, Problem] = await self._serve_unsafe(request, routes)
             else:
-                refusal = self._filters.admission.check_rate(routes, request.arrived_s)
+                refusal = self._filters.admission.check_rate(routes, request.arrived_at_s)
                 if refusal is not None:
                     result = Failure(refusal)
                 elif request.streamed:
@@ -160,7 +160,7 @@
         self, request: ClassifiedRequest, routes: TenantRoutes, claim: ClaimHandle
     ) -> Result[WholeAnswer, Problem]:
         deduplicator = self._filters.deduplicator
-        refusal = self._filters.admission.check_rate(routes, request.arrived_s)
+        refusal = self._filters.admission.check_rate(routes, request.arrived_at_s)
         if refusal is not None:
             deduplicator.settle_problem(claim, refusal)
             return Failure(refusal)
@@ -182,7 +182,7 @@
 
 
 def _account(request: ClassifiedRequest, result: Result[Answer, Problem]) -> None:
-    elapsed_s = monotonic_s() - request.arrived_s
+    elapsed_s = monotonic_s() - request.arrived_at_s
     if not isinstance(result, Success):
         problem = result.failure()
         request_counter(request.tenant, request.urgency, problem.kind).inc()
--- a/src/crowsill/pipeline/relay.py
+++ b/src/crowsill/pipeline/relay.py
@@ -45,7 +45,7 @@
         answer, slot = dispatched.answer, dispatched.slot
         succeeded: bool | None = None
         try:
-            async with asyncio.timeout(max(0.001, request.deadline_s - monotonic_s())):
+            async with asyncio.timeout(max(0.001, request.deadline_at_s - monotonic_s())):
                 body = await _read_all(answer)
             succeeded = True
             return Success(WholeAnswer(answer.status, answer.content_type, body))
@@ -120,7 +120,7 @@
         if resumes > MAX_RESUMES:
             return None
         await asyncio.sleep(RESUME_DELAY_S)
-        timeout_s = request.deadline_s - monotonic_s()
+        timeout_s = request.deadline_at_s - monotonic_s()
         if timeout_s <= 0:
             return None
         replica = slot.selection.replica.description
--- a/src/crowsill/routing/waiting.py
+++ b/src/crowsill/routing/waiting.py
@@ -121,7 +121,7 @@
         """Remove and yield the requests whose deadline has passed."""
         for queues in self._queues.values():
             for queue in list(queues.values()):
-                expired = [ticket for ticket in queue if ticket.request.deadline_s <= now_s]
+                expired = [ticket for ticket in queue if ticket.request.deadline_at_s <= now_s]
                 for ticket in expired:
                     self.remove(ticket)
                     yield ticket
--- a/src/crowsill/state/claim_archive.py
+++ b/src/crowsill/state/claim_archive.py
@@ -15,8 +15,8 @@
 from crowsill.state.commands import ClaimKey
 
 BUCKET_S = 3600.0
-BUCKET_KEYS = 65_536
-_CODE = "Q"
+MAX_BUCKET_KEYS = 65_536
+_ARRAY_TYPE_CODE = "Q"
 
 
 class ClaimBucket(msgspec.Struct, array_like=True):
@@ -46,14 +46,14 @@
     def __len__(self) -> int:
         return sum(len(digests) for _, digests in self._buckets)
 
-    def add(self, digest: int, opened_s: float) -> None:
-        """Add a key that was claimed at `opened_s`."""
-        hour = int(opened_s // BUCKET_S)
+    def add(self, digest: int, opened_at_s: float) -> None:
+        """Add a key that was claimed at `opened_at_s`."""
+        hour = int(opened_at_s // BUCKET_S)
         for known, digests in reversed(self._buckets):
-            if known == hour and len(digests) < BUCKET_KEYS:
+            if known == hour and len(digests) < MAX_BUCKET_KEYS:
                 insort(digests, digest)
                 return
-        self._buckets.append((hour, array(_CODE, [digest])))
+        self._buckets.append((hour, array(_ARRAY_TYPE_CODE, [digest])))
 
     def __contains__(self, digest: int) -> bool:
         for _, digests in self._buckets:
@@ -62,9 +62,9 @@
                 return True
         return False
 
-    def forget_before(self, horizon_s: float) -> None:
-        """Drop the hours that ended before `horizon_s`."""
-        first = int(horizon_s // BUCKET_S)
+    def forget_before(self, before_at_s: float) -> None:
+        """Drop the hours that ended before `before_at_s`."""
+        first = int(before_at_s // BUCKET_S)
         if self._buckets and self._buckets[0][0] < first:
             self._buckets = [bucket for bucket in self._buckets if bucket[0] >= first]
 
@@ -76,6 +76,6 @@
         """Replace the state from a snapshot."""
         self._buckets = []
         for bucket in buckets:
-            digests: array[int] = array(_CODE)
+            digests: array[int] = array(_ARRAY_TYPE_CODE)
             digests.frombytes(bucket.digests)
             self._buckets.append((bucket.hour, digests))
--- a/src/crowsill/state/claims.py
+++ b/src/crowsill/state/claims.py
@@ -44,7 +44,7 @@
         attempt: The attempt that was granted.
         holder: Incarnation of the entry that runs the attempt.
         state: State of the claim.
-        opened_s: Wall-clock time of the grant, where retention starts.
+        opened_at_s: Wall-clock time of the grant, where retention starts.
         response: The recorded response, if any.
     """
 
@@ -52,7 +52,7 @@
     attempt: str
     holder: str
     state: ClaimState
-    opened_s: float
+    opened_at_s: float
     response: RecordedResponse | None = None
 
 
@@ -153,12 +153,12 @@
             key = next(iter(self._claims))
             claim = self._claims[key]
             over = len(self._claims) > MAX_FULL_CLAIMS or self._response_bytes > MAX_RESPONSE_BYTES
-            if claim.opened_s >= full_after_s and not over:
+            if claim.opened_at_s >= full_after_s and not over:
                 return
             self._remove(key)
             # A released claim did not run, so its key may be claimed again.
             if claim.state is not ClaimState.RELEASED:
-                self._archive.add(key_digest(key), claim.opened_s)
+                self._archive.add(key_digest(key), claim.opened_at_s)
                 require(key_digest(key) in self._archive, "a used key is not forgotten")
 
     def _remove(self, key: ClaimKey) -> None:
--- a/src/crowsill/state/configuration_store.py
+++ b/src/crowsill/state/configuration_store.py
@@ -12,7 +12,7 @@
 from crowsill.model.validation import configuration_faults
 from crowsill.state.commands import ConfigurationDecision, ConfigurationResult
 
-HISTORY_LENGTH = 1000
+MAX_HISTORY_LENGTH = 1000
 
 
 class AcceptedChange(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
 
 
 class ConfigurationStore:
-    """Decides on changes and stores the latest `HISTORY_LENGTH` of them."""
+    """Decides on changes and stores the latest `MAX_HISTORY_LENGTH` of them."""
 
     def __init__(self) -> None:
         self.current = Configuration()
@@ -60,7 +60,7 @@
             candidate.revision, change.change_id, change.author, at_s, change.content
         )
         self._history.append(accepted)
-        del self._history[:-HISTORY_LENGTH]
+        del self._history[:-MAX_HISTORY_LENGTH]
         return ConfigurationResult(ConfigurationDecision.ACCEPTED, candidate.revision)
 
     def _find(self, change_id: str) -> AcceptedChange | None:
--- a/src/crowsill/state/crash_record.py
+++ b/src/crowsill/state/crash_record.py
@@ -221,12 +221,12 @@
         known = [item for item in fingerprints if self._suspects.pop(item, None) is not None]
         return self._changed({item: [] for item in known})
 
-    def inactive_since(self, horizon_s: float) -> list[bytes]:
+    def inactive_since(self, since_at_s: float) -> list[bytes]:
         """Return the suspects without a counted crash since a wall-clock time."""
         return [
             fingerprint
             for fingerprint, suspect in self._suspects.items()
-            if suspect.last_crash_at_s < horizon_s
+            if suspect.last_crash_at_s < since_at_s
         ]
 
     def _changed(self, changed: dict[bytes, list[str]]) -> SuspectChange | None:
--- a/src/crowsill/state/orders.py
+++ b/src/crowsill/state/orders.py
@@ -16,7 +16,7 @@
         resource: `model` or `model:adapter`.
         memory_mib: Memory that the resource needs.
         term: Term of the leader that placed it.
-        placed_s: Wall-clock time when the order was placed.
+        placed_at_s: Wall-clock time when the order was placed.
     """
 
     order_id: int
@@ -26,7 +26,7 @@
     resource: str
     memory_mib: int
     term: int
-    placed_s: float
+    placed_at_s: float = msgspec.field(name="placed_s")
 
 
 class OrderTable:
@@ -62,7 +62,7 @@
             resource=command.resource,
             memory_mib=command.memory_mib,
             term=command.term,
-            placed_s=command.at_s,
+            placed_at_s=command.at_s,
         )
         self._outstanding[order.order_id] = order
         known_mib = self.sizes.get(order.resource, 0)
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -363,7 +363,7 @@
         admission = pipeline._filters.admission
         routes = pipeline.table.tenants["tenant"]
         held_request = classify(incoming(), routes, 0.0).unwrap()
-        held_request.deadline_s = float("inf")
+        held_request.deadline_at_s = float("inf")
         held = (await admission.admit(held_request, routes, frozenset())).unwrap()
         waiting = asyncio.create_task(pipeline.serve(incoming()))
         late = asyncio.create_task(pipeline.serve(incoming(deadline_ms="1")))
