--- a/spec/election.py
+++ b/spec/election.py
@@ -151,8 +151,8 @@
     for term, log in state.committed:
         for index in MEMBERS:
             member = _member(state, index)
-            holds = member.log[: len(log)] == log
-            if member.role == LEADER and member.term > term and not holds:
+            has_committed = member.log[: len(log)] == log
+            if member.role == LEADER and member.term > term and not has_committed:
                 return False
     return True
 
--- a/spec/replacement.py
+++ b/spec/replacement.py
@@ -16,7 +16,7 @@
     """One state of the model.
 
     Attributes:
-        holds: Whether each member's disk has the committed entry.
+        has_entry: Whether each member's disk has the committed entry.
         votes: Whether each member is a voter under its current identity.
         up: Whether each member runs.
         lost: Number of disks lost so far.
@@ -25,7 +25,7 @@
         elected_without_entry: Whether a leader without the entry could be elected.
     """
 
-    holds: tuple[bool, ...]
+    has_entry: tuple[bool, ...]
     votes: tuple[bool, ...]
     up: tuple[bool, ...]
     lost: int
@@ -42,7 +42,7 @@
     """Lose a disk; the group survives a second loss only after it is full again."""
     return msgspec.structs.replace(
         state,
-        holds=_set(state.holds, index, False),
+        has_entry=_set(state.has_entry, index, False),
         votes=_set(state.votes, index, same_identity),
         lost=state.lost + 1,
         lost_after_report=state.reported_full,
@@ -52,12 +52,12 @@
 
 def _can_elect(state: ReplacementState, index: int) -> bool:
     """Return whether a member without the entry can get a majority of the three voters."""
-    if not (state.up[index] and state.votes[index]) or state.holds[index]:
+    if not (state.up[index] and state.votes[index]) or state.has_entry[index]:
         return False
     willing = [
         other
         for other in MEMBERS
-        if state.up[other] and state.votes[other] and not state.holds[other]
+        if state.up[other] and state.votes[other] and not state.has_entry[other]
     ]
     return len(willing) >= 2
 
@@ -67,7 +67,9 @@
 ) -> list[tuple[str, ReplacementState]]:
     steps: list[tuple[str, ReplacementState]] = []
     voters_with_entry = [
-        index for index in MEMBERS if state.up[index] and state.votes[index] and state.holds[index]
+        index
+        for index in MEMBERS
+        if state.up[index] and state.votes[index] and state.has_entry[index]
     ]
     for index in MEMBERS:
         may_lose = state.lost == 0 or (state.lost == 1 and state.reported_full)
@@ -75,13 +77,13 @@
             steps.append((f"lose disk {index}", _lose_disk(state, index, same_identity)))
         up = _set(state.up, index, not state.up[index])
         steps.append((f"toggle {index}", msgspec.structs.replace(state, up=up)))
-        if voters_with_entry and state.up[index] and not state.holds[index]:
-            holds = _set(state.holds, index, True)
-            steps.append((f"catch up {index}", msgspec.structs.replace(state, holds=holds)))
+        if voters_with_entry and state.up[index] and not state.has_entry[index]:
+            has_entry = _set(state.has_entry, index, True)
+            steps.append((f"catch up {index}", msgspec.structs.replace(state, has_entry=has_entry)))
         # Promotion is a membership change: it needs a majority of voters that are up, and a leader
         # with the entry.
         voters_up = [other for other in MEMBERS if state.up[other] and state.votes[other]]
-        ready = state.holds[index] or promotes_early
+        ready = state.has_entry[index] or promotes_early
         if not state.votes[index] and ready and voters_with_entry and len(voters_up) >= 2:
             votes = _set(state.votes, index, True)
             steps.append((f"promote {index}", msgspec.structs.replace(state, votes=votes)))
@@ -89,7 +91,7 @@
             steps.append(
                 (f"elect {index}", msgspec.structs.replace(state, elected_without_entry=True))
             )
-    is_full = all(state.votes) and all(state.holds)
+    is_full = all(state.votes) and all(state.has_entry)
     if state.lost and is_full:
         steps.append(("report full", msgspec.structs.replace(state, reported_full=True)))
     return steps
@@ -109,7 +111,7 @@
         return [(label, msgspec.structs.astuple(new)) for label, new in found]
 
     initial = ReplacementState(
-        holds=(True, True, False),
+        has_entry=(True, True, False),
         votes=(True, True, True),
         up=(True, True, True),
         lost=0,
--- a/src/crowsill/consensus/leader.py
+++ b/src/crowsill/consensus/leader.py
@@ -126,12 +126,15 @@
     def has_quorum_contact(self, now_s: float) -> bool:
         """Return whether a majority responded within an election timeout (check-quorum)."""
         core = self._core
-        horizon_at_s = now_s - core.config.election_timeout_s
-        if self.started_at_s > horizon_at_s:
+        window_start_at_s = now_s - core.config.election_timeout_s
+        if self.started_at_s > window_start_at_s:
             return True
         responsive = 0
         for voter in core.membership.voters:
-            if voter == core.member_id or self._progress[voter].last_response_at_s > horizon_at_s:
+            if (
+                voter == core.member_id
+                or self._progress[voter].last_response_at_s > window_start_at_s
+            ):
                 responsive += 1
         return responsive >= core.membership.quorum
 
--- a/src/crowsill/state/machine.py
+++ b/src/crowsill/state/machine.py
@@ -132,25 +132,28 @@
             case OfferModels():
                 return self.directory.offer(command.instance_id, command.models, command.loading)
 
-    def _apply_crash(self, note: CrashCommand) -> bool:
+    def _apply_crash(self, command: CrashCommand) -> bool:
         """Apply a command about suspect requests; return whether it changed anything."""
-        if isinstance(note, ClearSuspects):
-            for fingerprint, ago_s in zip(note.fingerprints, note.completed_ago_s, strict=False):
-                self.crashes.note_completion(fingerprint, note.at_s - ago_s)
-            return self.crashes.clear(note.fingerprints) is not None
+        if isinstance(command, ClearSuspects):
+            for fingerprint, ago_s in zip(
+                command.fingerprints, command.completed_ago_s, strict=False
+            ):
+                self.crashes.note_completion(fingerprint, command.at_s - ago_s)
+            return self.crashes.clear(command.fingerprints) is not None
         return (
-            self.crashes.record(note.instance_id, note.requests, note.at_s - note.ago_s) is not None
+            self.crashes.record(command.instance_id, command.requests, command.at_s - command.ago_s)
+            is not None
         )
 
-    def _apply_leader_record(self, note: LeaderRecord) -> bool:
+    def _apply_leader_record(self, command: LeaderRecord) -> bool:
         """Apply what a leader recorded for its successors; return whether it changed anything."""
-        match note:
+        match command:
             case RecordControlAddress():
-                return self.control_addresses.record(note.address)
+                return self.control_addresses.record(command.address)
             case RecordMissingModels():
-                return self.missing_models.record(note.requests)
+                return self.missing_models.record(command.requests)
             case RecordQuotaUse():
-                return self.quota_use.record(note.units)
+                return self.quota_use.record(command.units)
 
     def snapshot(self) -> bytes:
         """Encode the full state."""
