--- a/src/crowsill/gateway/availability.py
+++ b/src/crowsill/gateway/availability.py
@@ -112,7 +112,7 @@
     (True, True, False)
     >>> known.note_backoff(0.5, now_s=10.2), known.backoff_ends_at_s
     (False, 13.0)
-    >>> known.begin_probe(), known.has_capacity(0, 13.1), known.note_accepted(sent_s=13.1)
+    >>> known.begin_probe(), known.has_capacity(0, 13.1), known.note_accepted(sent_at_s=13.1)
     (True, False, None)
     >>> known.max_probes, known.has_capacity(0, 13.2)
     (2, True)
@@ -372,8 +372,8 @@
         """End a probe: its response head has come, or the attempt has ended."""
         self.probes -= 1
 
-    def note_accepted(self, sent_s: float) -> None:
-        """Record that it accepted a request sent at `sent_s` instead of rejecting it."""
-        if self.max_probes is None or sent_s < self.backoff_ends_at_s:
+    def note_accepted(self, sent_at_s: float) -> None:
+        """Record that it accepted a request sent at `sent_at_s` instead of rejecting it."""
+        if self.max_probes is None or sent_at_s < self.backoff_ends_at_s:
             return
         self.max_probes = None if self.max_probes >= MAX_PROBES else self.max_probes * 2
--- a/src/crowsill/gateway/demand.py
+++ b/src/crowsill/gateway/demand.py
@@ -10,15 +10,15 @@
 class DemandReporter:
     """Counts demand for the next heartbeat, and reports missing resources at once."""
 
-    def __init__(self, follower: GatewayFollower, keep_asking_s: float) -> None:
+    def __init__(self, follower: GatewayFollower, retention_s: float) -> None:
         """Create it.
 
         Args:
             follower: The stream to the control group.
-            keep_asking_s: Time for which the missing resource of a rejected request is reported.
+            retention_s: Time for which the missing resource of a rejected request is reported.
         """
         self._follower = follower
-        self._missing = MissingResources(keep_asking_s)
+        self._missing = MissingResources(retention_s)
         # Accumulated urgency of requests; each whole 1 counts as one urgent request.
         self._urgency = 0.0
 
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -34,12 +34,12 @@
 class PendingPrompt:
     """A prompt that a replica has not read yet; counted until its first event or its end."""
 
-    def __init__(self, record: ReplicaRecord, tokens: int, sent_s: float) -> None:
+    def __init__(self, record: ReplicaRecord, tokens: int, sent_at_s: float) -> None:
         self._record = record
         self._tokens = tokens
         self._is_counted = True
         record.pending_prompt_tokens += tokens
-        record.unanswered_sent_at_s[id(self)] = sent_s
+        record.unanswered_sent_at_s[id(self)] = sent_at_s
 
     def stop_counting(self) -> None:
         """Stop counting it."""
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -40,7 +40,7 @@
         self._loop = asyncio.get_running_loop()
 
     def process_signals(
-        self, record: ReplicaRecord, sent_s: float, status: int, signals: ReplicaSignals
+        self, record: ReplicaRecord, sent_at_s: float, status: int, signals: ReplicaSignals
     ) -> None:
         """Apply the signals of a response head as soon as it arrives."""
         now_s = self._loop.time()
@@ -52,21 +52,23 @@
         ):
             self._log.log_backoff(record, status, signals.backoff_s)
             self._context.on_backoff(record)
-        self._process_limit(record, sent_s, signals)
+        self._process_limit(record, sent_at_s, signals)
         if status not in REJECTION_STATUSES:
-            record.availability.note_accepted(sent_s)
+            record.availability.note_accepted(sent_at_s)
         if signals.is_draining and record.note_draining(now_s):
             self._log.log_draining(record, status)
             self._context.on_draining(record)
 
-    def _process_limit(self, record: ReplicaRecord, sent_s: float, signals: ReplicaSignals) -> None:
+    def _process_limit(
+        self, record: ReplicaRecord, sent_at_s: float, signals: ReplicaSignals
+    ) -> None:
         """Apply the rate limit of a response head, or its absence."""
         availability = record.availability
         if signals.limit_per_s is not None:
             if not availability.note_limit(signals.limit_per_s, self._loop.time()):
                 return
             self._log.log_limited(record, signals.limit_per_s)
-        elif signals.has_limit_header or not availability.limit.note_not_advertised(sent_s):
+        elif signals.has_limit_header or not availability.limit.note_not_advertised(sent_at_s):
             return
         else:
             self._log.log_unlimited(record)
@@ -80,18 +82,18 @@
             return
         record.note_failure(self._loop.time())
         self._context.on_unreachable(record)
-        self._log.log_attempt_failed(record, "silent", "no answer")
+        self._log.log_attempt_failed(record, "silent", "no response")
 
-    def note_overload(self, route: Route, attempt: Attempt, sent_s: float) -> None:
+    def note_overload(self, route: Route, attempt: Attempt, sent_at_s: float) -> None:
         """Report an overloaded model if a first event took most of its target."""
         if not self._request.model or attempt.first_data_at_s is None:
             return
-        taken_ms = (attempt.first_data_at_s - sent_s) * 1000.0
+        taken_ms = (attempt.first_data_at_s - sent_at_s) * 1000.0
         if taken_ms > route.target_latency_ms * OVERLOADED_TARGET_SHARE:
             self._context.demand.note_overloaded(self._log.service, self._request.model)
 
     def note_attempt_end(
-        self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_s: float
+        self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_at_s: float
     ) -> None:
         """Update the state of the replica from an attempt that has ended."""
         record, request = choice.record, self._request
@@ -118,8 +120,8 @@
         record.note_success()
         for key in part_keys(request):
             record.remember_part(key)
-        first_s = now_s if attempt.first_data_at_s is None else attempt.first_data_at_s
-        taken_s = first_s - sent_s
+        first_data_at_s = now_s if attempt.first_data_at_s is None else attempt.first_data_at_s
+        taken_s = first_data_at_s - sent_at_s
         if request.model:
             unread = max(0, request.prompt_tokens - choice.known_tokens)
             latency_model = self._context.registry.latency_model(self._log.service)
@@ -128,7 +130,7 @@
             )
             latency_model.observe_first_event(request.model, unread, taken_s * 1000.0)
             latency_model.observe_stream(
-                request.model, request.output_tokens, (now_s - first_s) * 1000.0
+                request.model, request.output_tokens, (now_s - first_data_at_s) * 1000.0
             )
             return
         expected_s = choice.expected_ms / 1000.0 / max(0.2, record.slowness_now(now_s))
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -190,12 +190,12 @@
 def test_what_was_sent_before_a_rest_opens_nothing_after_it():
     availability = Availability()
     availability.note_backoff(1.0, now_s=10.0)
-    availability.note_accepted(sent_s=9.9)
+    availability.note_accepted(sent_at_s=9.9)
     assert availability.max_probes == 1
     taken = 0
     while availability.max_probes is not None:
         assert availability.max_probes <= MAX_PROBES
-        availability.note_accepted(sent_s=11.0)
+        availability.note_accepted(sent_at_s=11.0)
         taken += 1
     assert taken == 5
 
