--- a/src/crowsill/gateway/attempt.py
+++ b/src/crowsill/gateway/attempt.py
@@ -15,7 +15,7 @@
 MAX_BUFFERED_BYTES = 256 * 1024
 NO_CONTENT_STATUSES = frozenset((204, 304))
 # Statuses from which a caller concludes that the request did not run. Without the replica's
-# `not_run` header such a response counts as a failure and is never relayed.
+# `not_run` header such a response counts as a failure, except 421, and is never relayed.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -39,6 +39,7 @@
 MAX_FIRST_EVENT_TARGETS = 2.0
 MIN_FIRST_EVENT_LIMIT_MS = 1000.0
 MAX_ROUTES_WAIT_S = 1.2
+# Counts all attempts; `Route.max_attempts` bounds those that a replica may have run.
 MAX_ATTEMPTS = 4
 CONNECTION_SHARE = 0.9
 MIN_CONNECTIONS = 2
--- a/src/crowsill/gateway/headers.py
+++ b/src/crowsill/gateway/headers.py
@@ -105,7 +105,7 @@
     dropped = CONNECTION_HEADERS | also_dropped
     named = find_header(headers, b"connection")
     if named is not None:
-        dropped = dropped | {name.strip().lower() for name in named.split(b",")}
+        dropped = dropped | {item.strip().lower() for item in named.split(b",")}
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -91,7 +91,7 @@
         self._deliver_break(Break.RESET if exc is not None else Break.CLOSED)
 
     def eof_received(self) -> bool:
-        """Note that the replica closed its side in an orderly way."""
+        """Note that the replica closed its side of the connection cleanly."""
         self._received_eof = True
         return False
 
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -206,7 +206,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # Context of exchanges.
+    # `ExchangeContext`.
 
     @property
     def revocation_s(self) -> float:
