--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -6,7 +6,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.gateway.caller_protocol import CallerConnection
-from crowsill.gateway.missing_resources import MOST_KEPT, MissingResources
+from crowsill.gateway.missing_resources import MAX_RETAINED, MissingResources
 from crowsill.gateway.routing_table import OUTRANKING_URGENCY
 from crowsill.model.instances import LoadedModel, LoadingModel
 from tests.control_group import until
@@ -286,10 +286,10 @@
 
 def test_the_number_of_resources_that_are_reported_again_is_bounded():
     asked = MissingResources()
-    for number in range(MOST_KEPT + 10):
-        asked.keep(f"m{number}", 0.0)
+    for number in range(MAX_RETAINED + 10):
+        asked.retain(f"m{number}", 0.0)
     due = asked.due(0.0)
-    assert len(due) == MOST_KEPT and "m9" not in due and "m10" in due
+    assert len(due) == MAX_RETAINED and "m9" not in due and "m10" in due
 
 
 def test_a_patient_route_with_a_higher_rank_counts_as_urgent_in_part():
