--- a/src/crowsill/control/bootstrap.py
+++ b/src/crowsill/control/bootstrap.py
@@ -27,7 +27,9 @@
     return reply if isinstance(reply, MemberBlank) else None
 
 
-async def agree_on_members(peers: list[PeerSettings], local: LocalIdentity) -> Membership | None:
+async def agree_on_initial_members(
+    peers: list[PeerSettings], local: LocalIdentity
+) -> Membership | None:
     """Query the other initial members until all have responded.
 
     Args:
@@ -56,7 +58,7 @@
     return Membership(members)
 
 
-async def agree_with_seeds(
+async def agree_on_seed_members(
     seeds: list[Address], own: Address, local: LocalIdentity
 ) -> Membership | None:
     """Return the membership of a new group of the seeds, if this member has to form it.
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -339,10 +339,10 @@
 
     async def hand_over_leadership(self, timeout_s: float) -> None:
         """Transfer leadership to another member before a planned stop."""
-        deadline_s = monotonic_s() + timeout_s
+        deadline_at_s = monotonic_s() + timeout_s
         self.node.transfer_leadership(monotonic_s())
         self._wake.set()
-        while self.node.role is Role.LEADER and monotonic_s() < deadline_s:
+        while self.node.role is Role.LEADER and monotonic_s() < deadline_at_s:
             await asyncio.sleep(self._tick_s)
 
     def stop(self) -> None:
--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -132,7 +132,7 @@
 
     async def _unload(self, instance: Instance, engine: EngineState, resource: str) -> None:
         model, _, adapter = resource.partition("/")
-        started_s = monotonic_s()
+        started_at_s = monotonic_s()
         was_done_already = await self._send_order(
             instance, engine, OrderKind.UNLOAD, model, adapter
         )
@@ -147,10 +147,10 @@
             engine.held.get(model, set()).discard(adapter)
         else:
             engine.held.pop(model, None)
-        self._log_settled(instance, OrderKind.UNLOAD, resource, started_s)
+        self._log_settled(instance, OrderKind.UNLOAD, resource, started_at_s)
 
     async def _load(self, instance: Instance, engine: EngineState, job: Job) -> None:
-        started_s = monotonic_s()
+        started_at_s = monotonic_s()
         resource = resource_name(job.model, job.adapter)
         await self._send_order(instance, engine, OrderKind.LOAD, job.model, job.adapter)
         if job.adapter:
@@ -163,7 +163,7 @@
             await self._wait_for_model(instance, engine, job.model, True, job.load_s)
             engine.held.setdefault(job.model, set())
         engine.loaded_at_s[resource] = monotonic_s()
-        self._log_settled(instance, OrderKind.LOAD, resource, started_s)
+        self._log_settled(instance, OrderKind.LOAD, resource, started_at_s)
 
     async def _send_order(
         self, instance: Instance, engine: EngineState, kind: OrderKind, model: str, adapter: str
@@ -277,19 +277,19 @@
         expected_s: float,
     ) -> None:
         """Wait until an engine's heartbeat or report shows that a model is present or absent."""
-        deadline_s = monotonic_s() + expected_s * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_MARGIN_S
+        deadline_at_s = monotonic_s() + expected_s * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_MARGIN_S
         poll_s = min(MAX_POLL_INTERVAL_S, max(MIN_POLL_INTERVAL_S, expected_s * LOAD_POLL_FRACTION))
-        next_report_s = monotonic_s() + expected_s + REPORT_LAG_S
-        while monotonic_s() < deadline_s:
+        next_report_at_s = monotonic_s() + expected_s + REPORT_LAG_S
+        while monotonic_s() < deadline_at_s:
             await asyncio.sleep(MIN_POLL_INTERVAL_S)
             reported = self._ports.machine.directory.find_reported(instance.instance_id)
             if reported is None or self._ports.is_lost(instance.instance_id):
                 raise JobFailedError("the engine is gone")
             if reported.serves(model) is present:
                 return
-            if monotonic_s() < next_report_s:
+            if monotonic_s() < next_report_at_s:
                 continue
-            next_report_s = monotonic_s() + poll_s
+            next_report_at_s = monotonic_s() + poll_s
             # Each report costs a call, and an unload may wait seconds for running requests.
             poll_s = min(MAX_POLL_INTERVAL_S, poll_s * POLL_INTERVAL_GROWTH)
             report = await self._ports.calls.report(instance)
@@ -301,9 +301,9 @@
 
     async def _wait_for_adapter(self, instance: Instance, engine: EngineState, job: Job) -> None:
         """Repeat the order until the engine responds that the adapter is loaded."""
-        deadline_s = monotonic_s() + LOAD_TIMEOUT_MARGIN_S
+        deadline_at_s = monotonic_s() + LOAD_TIMEOUT_MARGIN_S
         pause_s = job.load_s
-        while monotonic_s() < deadline_s:
+        while monotonic_s() < deadline_at_s:
             await asyncio.sleep(pause_s)
             if await self._send_order(instance, engine, OrderKind.LOAD, job.model, job.adapter):
                 return
@@ -311,7 +311,7 @@
         raise JobFailedError(f"{job.model}/{job.adapter}: not loaded in time")
 
     def _log_settled(
-        self, instance: Instance, kind: OrderKind, resource: str, started_s: float
+        self, instance: Instance, kind: OrderKind, resource: str, started_at_s: float
     ) -> None:
         log_event(
             Event.ORDER_SETTLED,
@@ -319,7 +319,7 @@
             kind=kind,
             resource=resource,
             succeeded=True,
-            seconds=round(monotonic_s() - started_s, 3),
+            seconds=round(monotonic_s() - started_at_s, 3),
         )
 
 
--- a/src/crowsill/control/gateway_use.py
+++ b/src/crowsill/control/gateway_use.py
@@ -37,11 +37,11 @@
 
     def sum(self, now_s: float) -> UseByReplica:
         """Return the sum of the recent reports, and forget the others."""
-        horizon_s = now_s - REPORT_LIFETIME_S
+        horizon_at_s = now_s - REPORT_LIFETIME_S
         self._reports = {
             source: report
             for source, report in self._reports.items()
-            if report.received_at_s >= horizon_s
+            if report.received_at_s >= horizon_at_s
         }
         return total_use([report.use for report in self._reports.values()])
 
--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -139,10 +139,10 @@
         for resource in wanted:
             self._waited_for_at_s[resource] = now_s
             model = resource.partition("/")[0]
-            last_s, since_s = self._wait_spans.get(model, (float("-inf"), now_s))
-            if now_s - last_s > MAX_WAIT_GAP_S:
-                since_s = now_s
-            self._wait_spans[model] = (now_s, since_s)
+            last_at_s, since_at_s = self._wait_spans.get(model, (float("-inf"), now_s))
+            if now_s - last_at_s > MAX_WAIT_GAP_S:
+                since_at_s = now_s
+            self._wait_spans[model] = (now_s, since_at_s)
             self._requested_at_s[resource] = now_s
         self._wake.set()
 
@@ -161,9 +161,9 @@
                 if self._ports.engines.has_lease():
                     self._inherit_missing()
                 if monotonic_s() >= self._first_order_at_s and self._ports.engines.has_lease():
-                    step_began_s = monotonic_s()
-                    self._step_safely()
-                    await asyncio.sleep((monotonic_s() - step_began_s) * PLAN_PAUSE_FACTOR)
+                    planning_began_at_s = monotonic_s()
+                    self._plan_safely()
+                    await asyncio.sleep((monotonic_s() - planning_began_at_s) * PLAN_PAUSE_FACTOR)
         finally:
             recording.cancel()
             for engine in self._engines.values():
@@ -190,10 +190,10 @@
             ):
                 await self._ports.engines.submit(RecordMissingModels(missing))
 
-    def _step_safely(self) -> None:
+    def _plan_safely(self) -> None:
         """Plan once; an exception must not stop placement until the next change of leader."""
         try:
-            self._step()
+            self._plan_once()
         except Exception as error:
             log_event(Event.INTERNAL_ERROR, where="placement", error=repr(error))
 
@@ -208,12 +208,12 @@
         self._overloaded.add(self._ports.collect_overloaded(), now_s)
         self._urgent.add(_with_model_totals(self._ports.collect_urgent()), now_s)
         self._waited_for_at_s = {
-            resource: at_s
-            for resource, at_s in self._waited_for_at_s.items()
-            if now_s - at_s < _waiting_lifetime_s(resource)
+            resource: waited_for_at_s
+            for resource, waited_for_at_s in self._waited_for_at_s.items()
+            if now_s - waited_for_at_s < _waiting_lifetime_s(resource)
         }
 
-    def _step(self) -> None:
+    def _plan_once(self) -> None:
         routes = self._ports.routes()
         if routes is None:
             return
@@ -254,9 +254,9 @@
             awaited=list(_select_service(self._waited_for_at_s, name)),
             awaited_since_at_s=_select_service(
                 {
-                    model: since_s
-                    for model, (last_s, since_s) in self._wait_spans.items()
-                    if now_s - last_s < WAITING_LIFETIME_S
+                    model: since_at_s
+                    for model, (last_at_s, since_at_s) in self._wait_spans.items()
+                    if now_s - last_at_s < WAITING_LIFETIME_S
                 },
                 name,
             ),
@@ -337,10 +337,10 @@
         """Return how many loads the last leader may have started within the last window."""
         if not self._has_predecessor:
             return 0
-        shortest_s = min((model.load_s for model in limits.models), default=1.0)
-        each = math.ceil(self._limits.window_s / max(0.1, shortest_s))
+        min_load_s = min((model.load_s for model in limits.models), default=1.0)
+        loads_per_engine = math.ceil(self._limits.window_s / max(0.1, min_load_s))
         reported = self._ports.engines.machine.directory.reported
-        return each * sum(1 for instance in reported if instance.service == service)
+        return loads_per_engine * sum(1 for instance in reported if instance.service == service)
 
     def _start(self, job: Job, instance: Instance, service: str, limits: EngineLimits) -> None:
         engine = self._engines[job.instance_id]
--- a/src/crowsill/control/placers.py
+++ b/src/crowsill/control/placers.py
@@ -39,13 +39,13 @@
 def make_registered_placer(member: LeadingMember, calls: EngineCalls) -> ModelPlacer:
     """Return the placer for engines that register themselves."""
     control, service, driver = member.control, member.service, member.driver
-    started_s = monotonic_s()
+    started_at_s = monotonic_s()
     engines = EngineJobPorts(
         machine=driver.machine,
         calls=calls,
         submit=driver.submit,
         has_lease=driver.has_lease,
-        is_lost=lambda instance_id: service.liveness.is_lost(instance_id, started_s),
+        is_lost=lambda instance_id: service.liveness.is_lost(instance_id, started_at_s),
     )
     ports = ModelPlacerPorts(
         engines=engines,
--- a/src/crowsill/control/quota_grants.py
+++ b/src/crowsill/control/quota_grants.py
@@ -132,7 +132,7 @@
             self._term = driver.node.term
         return self._ledger
 
-    async def keep_recording(self, driver: ConsensusDriver) -> None:
+    async def record_periodically(self, driver: ConsensusDriver) -> None:
         """Commit use before it is granted, while this member leads."""
         while True:
             await asyncio.sleep(RECORD_INTERVAL_S)
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -153,7 +153,7 @@
         self._control = control
         contacts = GroupContacts(control.seeds, random)
         self._locator = LeaderLocator(local, control.listen, contacts)
-        self._inner = ConnectionServer(
+        self._member_server = ConnectionServer(
             local, self._on_request, lambda *_push: None, lambda _connection: None
         )
         self._listeners: list[HttpServer] = []
@@ -162,7 +162,7 @@
     async def start(self) -> None:
         """Open the listeners and start the search for the leader."""
         listen = self._control.listen
-        await self._inner.start(listen.host, listen.port)
+        await self._member_server.start(listen.host, listen.port)
         for listener in (self._control.registrations, self._control.operators):
             if listener is not None:
                 await self._listen(listener)
@@ -191,7 +191,7 @@
     async def drain(self) -> None:
         """Do nothing: this process has no state to hand over."""
 
-    async def failed(self) -> BaseException | None:
+    async def wait_for_failure(self) -> BaseException | None:
         """Wait until the search for the leader stops by itself; return the error."""
         if self._task is None:
             return None
@@ -203,7 +203,7 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        await self._inner.stop()
+        await self._member_server.stop()
         for server in self._listeners:
             await server.stop()
 
--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -69,10 +69,10 @@
 
     async def _commit(self, command: Command, timeout_s: float) -> bool:
         """Commit a command through the leader; return whether the commit is confirmed."""
-        deadline_s = monotonic_s() + timeout_s
-        while monotonic_s() < deadline_s:
+        deadline_at_s = monotonic_s() + timeout_s
+        while monotonic_s() < deadline_at_s:
             try:
-                async with asyncio.timeout(deadline_s - monotonic_s()):
+                async with asyncio.timeout(deadline_at_s - monotonic_s()):
                     reply = await self._service.submit_or_forward(SubmitCommand(command))
             except (ConnectionLostError, TimeoutError):
                 reply = None
@@ -154,11 +154,11 @@
 
     async def current_routes(self) -> Result[PublishedRoutes, Problem]:
         """Return the active routes, confirmed to be the latest acknowledged ones."""
-        deadline_s = monotonic_s() + READ_TIMEOUT_S
+        deadline_at_s = monotonic_s() + READ_TIMEOUT_S
         freshness = await self._service.confirmed_freshness()
         if freshness is None:
             return Failure(Problem(ErrorKind.NO_LEADER, "no leader confirms the latest version"))
-        if not await self._service.has_applied(freshness, deadline_s):
+        if not await self._service.has_applied(freshness, deadline_at_s):
             return Failure(Problem(ErrorKind.NO_LEADER, "this member is behind"))
         document = self._machine.routes.current
         return Success(PublishedRoutes(document.version, decompress_document(document)))
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -18,7 +18,7 @@
 from crowsill.consensus.types import MemberSetup, RaftConfig, Role, Snapshot
 from crowsill.control.abandonment import abandon_lost_claims
 from crowsill.control.announcer import AnnouncerPorts, GroupAnnouncer
-from crowsill.control.bootstrap import agree_on_members, agree_with_seeds, first_state
+from crowsill.control.bootstrap import agree_on_initial_members, agree_on_seed_members, first_state
 from crowsill.control.driver import ConsensusDriver
 from crowsill.control.fleet_observer import FleetObserver
 from crowsill.control.joining import GroupJoiner
@@ -200,10 +200,10 @@
         if control.seeds:
             if not control.bootstrap:
                 return None
-            return await agree_with_seeds(control.seeds, control.listen, self._local)
+            return await agree_on_seed_members(control.seeds, control.listen, self._local)
         peers = control.initial_members
         if peers and peers[0].name == self._settings.node:
-            return await agree_on_members(peers, self._local)
+            return await agree_on_initial_members(peers, self._local)
         return None
 
     def _make_driver(self, recovered: RecoveredState) -> ConsensusDriver:
@@ -245,7 +245,7 @@
 
     def _on_restored(self) -> None:
         self._quota.on_restored()
-        self._subscribers.push_everything()
+        self._subscribers.push_full_state()
 
     def _receive(self, envelopes: list[Envelope]) -> None:
         self._driver().receive(envelopes)
@@ -277,7 +277,7 @@
         changes = MemberChanges(driver, self._local, self._control.target_voters)
         self._leader_tasks = [
             asyncio.create_task(changes.reconcile()),
-            asyncio.create_task(self._quota.keep_recording(driver)),
+            asyncio.create_task(self._quota.record_periodically(driver)),
             asyncio.create_task(
                 expire_suspects(self._machine.crashes, driver.submit, self._control.quarantine_s)
             ),
@@ -336,7 +336,7 @@
         if self._service is not None and self._service.driver is not None:
             await self._service.driver.hand_over_leadership(HAND_OVER_TIMEOUT_S)
 
-    async def failed(self) -> BaseException | None:
+    async def wait_for_failure(self) -> BaseException | None:
         """Wait until the member stops by itself; return the error."""
         if self._driver_task is None:
             return None
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -148,7 +148,7 @@
         if isinstance(body, GatewayRequest):
             return await self._handle_gateway(connection, body, driver)
         if isinstance(body, JoinRequest | FindGroup) and driver.is_leader:
-            return self._handle_newcomer(body, driver)
+            return self._handle_group_request(body, driver)
         return self._redirect(driver)
 
     def _redirect(self, driver: ConsensusDriver | None) -> NotLeader:
@@ -159,7 +159,7 @@
             known = [format_address(address) for address in self._contacts.known()]
         return NotLeader(None if driver is None else driver.leader_address(), known)
 
-    def _handle_newcomer(
+    def _handle_group_request(
         self, request: JoinRequest | FindGroup, driver: ConsensusDriver
     ) -> JoinReply | GroupReferral:
         """Handle, as the leader, a request of a process that looks for the group."""
@@ -200,9 +200,9 @@
         Losing as many disks as a full group survives could make a smaller group lose an
         acknowledged entry.
         """
-        deadline_s = monotonic_s() + MAX_FULL_GROUP_WAIT_S
+        deadline_at_s = monotonic_s() + MAX_FULL_GROUP_WAIT_S
         while not self._has_reached_full_size and driver.is_leader:
-            if self._changes(driver).is_full() or monotonic_s() > deadline_s:
+            if self._changes(driver).is_full() or monotonic_s() > deadline_at_s:
                 self._has_reached_full_size = True
                 return
             await asyncio.sleep(FULL_GROUP_POLL_INTERVAL_S)
--- a/src/crowsill/control/subscribers.py
+++ b/src/crowsill/control/subscribers.py
@@ -50,11 +50,11 @@
 
     def live(self, now_s: float) -> list[EntryStatus]:
         """Return the entries that reported within `ENTRY_EXPIRY_S`; forget the others."""
-        horizon_s = now_s - ENTRY_EXPIRY_S
+        horizon_at_s = now_s - ENTRY_EXPIRY_S
         self._entries = {
             incarnation: entry
             for incarnation, entry in self._entries.items()
-            if entry.seen_at_s >= horizon_s
+            if entry.seen_at_s >= horizon_at_s
         }
         return [entry.status for entry in self._entries.values()]
 
@@ -145,7 +145,7 @@
         """Send a change of the crash record."""
         self._push_to_gateways(encode_push(SuspectsUpdate(change, False)))
 
-    def push_everything(self) -> None:
+    def push_full_state(self) -> None:
         """Send the full state that gateways follow, after a snapshot has replaced it."""
         self.push_routes()
         self._push_to_gateways(encode_push(DirectoryUpdate(self._directory.full_change(), True)))
--- a/src/crowsill/daemon.py
+++ b/src/crowsill/daemon.py
@@ -148,7 +148,7 @@
         """Wait for a stop or for the control member to fail; return the failure."""
         waiting = [asyncio.create_task(self._wait_for_stop())]
         if self._control is not None:
-            waiting.append(asyncio.create_task(self._control.failed()))
+            waiting.append(asyncio.create_task(self._control.wait_for_failure()))
         done, pending = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
--- a/tests/test_redirector.py
+++ b/tests/test_redirector.py
@@ -8,7 +8,7 @@
 
 from crowsill.control import bootstrap
 from crowsill.control import redirector as redirector_module
-from crowsill.control.bootstrap import agree_with_seeds
+from crowsill.control.bootstrap import agree_on_seed_members
 from crowsill.control.redirector import ControlRedirector
 from crowsill.settings import Address, ControlSettings, HttpListener, parse_settings
 from crowsill.transport.connection import ConnectionServer
@@ -165,7 +165,7 @@
         return MemberBlank(f"m{position}.1", True, may_vote=position not in without_disk)
 
     monkeypatch.setattr(bootstrap, "check_if_empty", response)
-    formed = asyncio.run(agree_with_seeds(SEEDS, SEEDS[own], local(f"m{own}")))
+    formed = asyncio.run(agree_on_seed_members(SEEDS, SEEDS[own], local(f"m{own}")))
     if expected is None:
         assert formed is None
     else:
@@ -179,7 +179,7 @@
         return MemberBlank("m.1", is_blank=seed != SEEDS[2])
 
     monkeypatch.setattr(bootstrap, "check_if_empty", response)
-    assert asyncio.run(agree_with_seeds(SEEDS, SEEDS[0], local())) is None
+    assert asyncio.run(agree_on_seed_members(SEEDS, SEEDS[0], local())) is None
 
 
 def test_settings_without_a_data_folder_require_seeds():
