--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -56,11 +56,11 @@
         gateway = headers["x-from"]
         self.arrivals.append((time.monotonic(), gateway))
         await asyncio.sleep(RUN_S)
-        status, extra, answer = await super()._answer(first, headers, body)
+        status, extra, response_body = await super()._answer(first, headers, body)
         if self.per_s is not None:
             self.told_s.setdefault(gateway, time.monotonic())
             extra = [*extra, f"Server-Limit: {self.per_s:g}"]
-        return status, extra, answer
+        return status, extra, response_body
 
     def fullest_window(self):
         """Return the most requests in a window from gateways that had been told."""
