--- a/src/crowsill/control/members.py
+++ b/src/crowsill/control/members.py
@@ -136,7 +136,7 @@
         return JoinReply(self._driver.propose_membership(membership.with_member(learner)))
 
     def silent_addresses(self) -> list[Address]:
-        """Return the addresses of silent members; an empty member uses its former address."""
+        """Return the addresses of silent members; an empty member may listen there now."""
         silent_s = self._health().silent_s
         return [
             Address(member.host, member.port)
