--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -32,7 +32,7 @@
 NOT_RUN = NAMES.not_run.decode()
 
 
-def answer(request_id, body=b"fine", status="200 OK", extra="", length=True):
+def encode_response(request_id, body=b"fine", status="200 OK", extra="", length=True):
     """Return a sound answer of a replica."""
     lines = [f"HTTP/1.1 {status}", f"{ID}: {request_id}", f"{STAMP}: s1"]
     if length:
@@ -197,7 +197,7 @@
         pairs = [line.split(": ", 1) for line in text.split("\r\n")[1:] if ": " in line]
         return status, {name.lower(): value for name, value in pairs}
 
-    async def ask(self, route, request_id="r1", body=b"", headers=(), within_s=5.0):
+    async def request(self, route, request_id="r1", body=b"", headers=(), within_s=5.0):
         """Send a request and return status, headers and body of the answer."""
         self.send(route, request_id, body, headers=headers)
         status, found = await self.head(within_s)
@@ -215,30 +215,30 @@
                 if size == 0:
                     return b"".join(parts)
 
-    def leave(self):
+    def disconnect(self):
         with contextlib.suppress(OSError):
             self.writer.transport.abort()
 
 
 # A caller that comes back has less time left than the route gives.
-LATER = "crowsill-deadline-ms: 2500"
+RETRY_DEADLINE_HEADER = "crowsill-deadline-ms: 2500"
 
 
-async def good(headers, writer, _number):
-    writer.write(answer(headers[ID]))
+async def respond_ok(headers, writer, _number):
+    writer.write(encode_response(headers[ID]))
     return True
 
 
-async def not_run(headers, writer, _number):
-    writer.write(answer(headers[ID], b"", "503 Full", f"{NOT_RUN}: 1"))
+async def reject_not_run(headers, writer, _number):
+    writer.write(encode_response(headers[ID], b"", "503 Full", f"{NOT_RUN}: 1"))
     return True
 
 
-async def closes(_headers, _writer, _number):
+async def close_connection(_headers, _writer, _number):
     return False
 
 
-async def silent(_headers, _writer, _number):
+async def never_respond(_headers, _writer, _number):
     await asyncio.sleep(30)
     return False
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -11,7 +11,7 @@
 from crowsill.backends.engine_calls import OrderAnswer
 from crowsill.transport.connection import Connection
 from crowsill.transport.messages import Ping, Pong
-from tests.gateway_world import good, world
+from tests.gateway_world import respond_ok, world
 from tests.test_model_placer import ScriptedEngines, World
 
 # Steps of the event loop between the end of the wait and the cancellation.
@@ -41,7 +41,7 @@
 @STEPS
 def test_a_waiting_request_that_is_cancelled_at_a_change_stops(steps):
     async def body():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
 
             async def wait():
                 while True:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -14,20 +14,22 @@
 from crowsill.transport.messages import Submitted
 from crowsill.transport.replica_messages import ReportCrash
 from tests.crash_world import Port, Watched, at, settle, suspect
-from tests.gateway_world import LOCAL, closes, run, silent, world
+from tests.gateway_world import LOCAL, close_connection, never_respond, run, world
 
 
 async def _break_at(played, times):
     caller = await played.caller()
     for number in range(times):
-        await caller.ask("once", f"r{number}", b"same")
+        await caller.request("once", f"r{number}", b"same")
         await asyncio.sleep(0.4)
-    return await caller.ask("once", "last", b"same")
+    return await caller.request("once", "last", b"same")
 
 
 def test_broken_responses_of_running_replicas_make_no_suspect():
     async def scenario():
-        async with world(closes, closes, closes, closes) as played:
+        async with world(
+            close_connection, close_connection, close_connection, close_connection
+        ) as played:
             status, _, _ = await _break_at(played, 4)
             assert status == 502
             assert not played.role.crash_guard.has_suspects
@@ -154,13 +156,13 @@
 
 def test_an_exchange_reports_a_caller_that_disconnected():
     async def scenario():
-        async with world(silent) as played:
+        async with world(never_respond) as played:
             left = []
             played.role.crash_watch.note_abandoned = lambda found, request: left.append(request)
             caller = await played.caller()
             caller.send("once", "r1", b"slow")
             await asyncio.sleep(0.2)
-            caller.leave()
+            caller.disconnect()
             await asyncio.sleep(0.2)
             assert [(request.request_id, request.ran_s > 0.1) for request in left] == [("r1", True)]
 
@@ -175,7 +177,7 @@
     """
 
     async def scenario():
-        async with world(silent) as played:
+        async with world(never_respond) as played:
             role, reported = played.role, []
 
             async def query(message, _timeout_s):
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -12,24 +12,24 @@
 from tests.control_group import until
 from tests.gateway_world import (
     ID,
-    LATER,
     LOCAL,
+    RETRY_DEADLINE_HEADER,
     Caller,
-    answer,
-    good,
+    encode_response,
     instance,
+    never_respond,
+    respond_ok,
     run,
-    silent,
     world,
 )
 
 
 def test_a_draining_replica_gets_no_new_requests():
     async def scenario():
-        async with world(good, good) as here:
+        async with world(respond_ok, respond_ok) as here:
             here.drain(1)
             for number in range(6):
-                assert (await (await here.caller()).ask("once", f"r{number}"))[0] == 200
+                assert (await (await here.caller()).request("once", f"r{number}"))[0] == 200
             assert here._replicas[0].requests == []
 
     run(scenario())
@@ -37,16 +37,16 @@
 
 def test_a_stopped_replica_is_excluded_and_its_model_counts_as_missing():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             await here._replicas[0].stop()
             loop = asyncio.get_running_loop()
             caller = await here.caller()
-            status, headers, _ = await caller.ask("once", "r1")
+            status, headers, _ = await caller.request("once", "r1")
             assert status == 503 and "retry-after" in headers
-            model = ["crowsill-model: m", LATER]
-            await caller.ask("engine", "r2", headers=model)
+            model = ["crowsill-model: m", RETRY_DEADLINE_HEADER]
+            await caller.request("engine", "r2", headers=model)
             started_at_s = loop.time()
-            status, _, body = await caller.ask("engine", "r3", headers=model)
+            status, _, body = await caller.request("engine", "r3", headers=model)
             # It waits for another model copy; it is not rejected as if the dead replica were full.
             assert status == 503 and b'"no_replica"' in body
             assert loop.time() - started_at_s > 0.2
@@ -57,11 +57,11 @@
 
 def test_a_request_for_a_model_without_copies_waits_until_it_is_loaded():
     async def scenario():
-        async with world(good, models=()) as here:
+        async with world(respond_ok, models=()) as here:
             caller = await here.caller()
             # A load from the machine's memory is fast enough; one from the store is too slow.
             here.adopt([instance(here._replicas[0], 1, in_memory=["m"])])
-            caller.send("engine", headers=["crowsill-model: m", LATER])
+            caller.send("engine", headers=["crowsill-model: m", RETRY_DEADLINE_HEADER])
             await asyncio.sleep(0.2)
             assert here._replicas[0].requests == []
             here._models = ("m",)
@@ -76,13 +76,13 @@
     # later one are rejected at once if the load can't finish in time: here the store takes 10 s and
     # the request has 3 s left.
     async def scenario():
-        async with world(good, models=()) as here:
+        async with world(respond_ok, models=()) as here:
             loop = asyncio.get_running_loop()
             caller = await here.caller()
-            for more in ([], [LATER]):
+            for more in ([], [RETRY_DEADLINE_HEADER]):
                 started_at_s = loop.time()
                 headers = ["crowsill-model: m", *more]
-                status, headers, _ = await caller.ask("engine", headers=headers)
+                status, headers, _ = await caller.request("engine", headers=headers)
                 assert status == 503 and loop.time() - started_at_s < 0.3
                 assert 9.0 < float(headers["retry-after"]) < 12.0, "the store takes 10 s"
 
@@ -91,7 +91,7 @@
 
 def test_a_request_waits_for_a_running_load_that_finishes_in_time():
     async def scenario():
-        async with world(good, models=()) as here:
+        async with world(respond_ok, models=()) as here:
             loop = asyncio.get_running_loop()
             caller = await here.caller()
             loading = instance(here._replicas[0], 1, loading=[LoadingModel("m", 1.2)])
@@ -110,14 +110,14 @@
 def test_a_shutdown_rejects_waiting_requests_at_once_and_finishes_running_ones():
     async def slow(headers, writer, _number):
         await asyncio.sleep(0.8)
-        writer.write(answer(headers[ID]))
+        writer.write(encode_response(headers[ID]))
         return True
 
     async def scenario():
         async with world(slow, models=()) as here:
             waiting, running = await here.caller(), await here.caller()
             here.adopt([instance(here._replicas[0], 1, in_memory=["m"])])
-            waiting.send("engine", headers=["crowsill-model: m", LATER])
+            waiting.send("engine", headers=["crowsill-model: m", RETRY_DEADLINE_HEADER])
             running.send("once")
             await asyncio.sleep(0.1)
             assert here.role.is_ready()
@@ -138,7 +138,7 @@
     # A stream of some seconds that started before the load balancer noticed the shutdown was cut
     # off when the process stopped.
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             long, short = await here.caller(), await here.caller()
             stopping = asyncio.create_task(here.role.drain())
             await asyncio.sleep(0)
@@ -165,7 +165,7 @@
     """
 
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             late, early = await here.caller(), await here.caller()
             stopping = asyncio.create_task(here.role.drain())
             await asyncio.sleep(0)
@@ -182,7 +182,7 @@
 
 def test_at_the_end_of_the_grace_period_running_requests_get_a_response():
     async def scenario():
-        async with world(silent) as here:
+        async with world(never_respond) as here:
             caller = await here.caller()
             caller.send("stream")
             await asyncio.sleep(0.1)
@@ -196,7 +196,7 @@
 
 def test_a_gateway_serves_no_request_before_it_is_current():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             # After a restart of all processes a member may send routes before it has applied all of
             # them. A gateway that served with those rejected requests that needed later routes.
             here.role._is_current = False
@@ -212,7 +212,7 @@
 
 def test_readiness_is_served_at_its_own_address():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             port = here.role._ready_server._server.sockets[0].getsockname()[1]
 
             async def ready():
@@ -235,7 +235,7 @@
     # has ended. Its request was forwarded and ran, and the process stopped 1 ms later without its
     # response.
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             await here.role.drain()
             ours, theirs = socket.socketpair()
             loop = asyncio.get_running_loop()
@@ -254,11 +254,11 @@
     # The control group forgets demand that is not reported again. Under high load 6 of 32 models
     # were never served, because requests for them were rejected early.
     async def scenario():
-        async with world(good, models=()) as here:
+        async with world(respond_ok, models=()) as here:
             asked = []
             here.role._follower.send_notice = lambda notice: asked.append(notice) or True
             caller = await here.caller()
-            status, _, _ = await caller.ask("engine", headers=["crowsill-model: m"])
+            status, _, _ = await caller.request("engine", headers=["crowsill-model: m"])
             assert status == 503
             before = len(asked)
             await until(lambda: len(asked) > before + 2)
@@ -271,13 +271,13 @@
     # Callers choose the names of models: made-up names must not be reported to the group again and
     # again.
     async def scenario():
-        async with world(good, models=()) as here:
+        async with world(respond_ok, models=()) as here:
             asked = []
             here.role._follower.send_notice = lambda notice: asked.append(notice) or True
             caller = await here.caller()
-            status, _, _ = await caller.ask("engine", headers=["crowsill-model: nobody"])
+            status, _, _ = await caller.request("engine", headers=["crowsill-model: nobody"])
             assert status == 503
-            status, _, _ = await caller.ask("engine", headers=["crowsill-model: m"])
+            status, _, _ = await caller.request("engine", headers=["crowsill-model: m"])
             await until(lambda: len(asked) > 2)
             assert {name for notice in asked for name in notice.wanted} == {"engines|m"}
 
@@ -296,7 +296,7 @@
     # Otherwise models of such a route are loaded after those of a route with a short target
     # latency, and it is served least although the operator ranks it higher.
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             for _ in range(100):
                 here.role.demand.note_request("engines", "patient", "", OUTRANKING_URGENCY)
                 here.role.demand.note_request("engines", "short", "", 1.0)
--- a/tests/test_gateway_tenants.py
+++ b/tests/test_gateway_tenants.py
@@ -11,7 +11,7 @@
 from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.model.tenants import RateUnit, Tenant
 from crowsill.transport.messages import GrantReply, NotLeader
-from tests.gateway_world import NAMES, good, not_run, routes, run, silent, world
+from tests.gateway_world import NAMES, never_respond, reject_not_run, respond_ok, routes, run, world
 
 TENANT = NAMES.tenant.decode()
 KEY = "Authorization: Bearer shop-key"
@@ -67,8 +67,8 @@
 )
 def test_a_caller_without_one_known_key_is_refused_and_nothing_runs(headers):
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
-            status, found, body = await (await here.caller()).ask("once", headers=headers)
+        async with world(respond_ok, configuration=keyed()) as here:
+            status, found, body = await (await here.caller()).request("once", headers=headers)
             assert status == 401 and "retry-after" not in found
             assert here._replicas[0].requests == [] and b"wrong" not in body
 
@@ -78,9 +78,9 @@
 @pytest.mark.parametrize("scheme", ["Bearer", "bearer", "BEARER", "bEaReR "])
 def test_the_scheme_of_a_key_is_read_in_any_case(scheme):
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             headers = [f"aUTHORization: {scheme} shop-key", f"{TENANT}: rival"]
-            assert (await (await here.caller()).ask("once", headers=headers))[0] == 200
+            assert (await (await here.caller()).request("once", headers=headers))[0] == 200
             assert told(here)[TENANT] == "shop" and "authorization" not in told(here)
 
     run(scenario())
@@ -88,9 +88,9 @@
 
 def test_a_key_that_the_connection_names_is_still_asked_for():
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             headers = [KEY, f"Connection: authorization, {TENANT}"]
-            assert (await (await here.caller()).ask("once", headers=headers))[0] == 200
+            assert (await (await here.caller()).request("once", headers=headers))[0] == 200
             assert told(here)[TENANT] == "shop" and "authorization" not in told(here)
 
     run(scenario())
@@ -101,9 +101,9 @@
 )
 def test_a_public_route_serves_everybody_and_passes_no_key_on(headers, tenant):
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             headers_sent = [*headers, f"{TENANT}: rival"]
-            assert (await (await here.caller()).ask("safe", headers=headers_sent))[0] == 200
+            assert (await (await here.caller()).request("safe", headers=headers_sent))[0] == 200
             assert told(here).get(TENANT) == tenant and "authorization" not in told(here)
 
     run(scenario())
@@ -111,9 +111,9 @@
 
 def test_the_rank_of_a_tenant_goes_before_that_of_its_route():
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             headers = [KEY, f"{NAMES.model.decode()}: m"]
-            assert (await (await here.caller()).ask("engine", headers=headers))[0] == 200
+            assert (await (await here.caller()).request("engine", headers=headers))[0] == 200
             assert told(here)[NAMES.priority.decode()] == "1"
 
     run(scenario())
@@ -122,7 +122,7 @@
 def test_a_key_that_was_taken_away_runs_nothing_more_also_for_a_request_that_waits():
     # A request that waited for its replica was identified before the key was taken away.
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             here.adopt([])
             caller = await here.caller()
             caller.send("once", headers=[KEY])
@@ -137,29 +137,29 @@
 
 def test_a_gateway_out_of_touch_runs_nothing_with_a_key_once_its_proof_is_too_old():
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             # The bound is 5 s, and a gateway stops a second before it.
             here.role._on_current(1, monotonic_s() - 3.0)
-            assert (await (await here.caller()).ask("once", headers=[KEY]))[0] == 200
+            assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 200
             here.role._on_current(1, monotonic_s() - 4.01)
-            status, found, _ = await (await here.caller()).ask("once", "r2", headers=[KEY])
+            status, found, _ = await (await here.caller()).request("once", "r2", headers=[KEY])
             assert status == 503 and float(found["retry-after"]) <= 1.0
             assert len(here._replicas[0].requests) == 1
             # What needs no key is served on.
-            assert (await (await here.caller()).ask("safe", "r3"))[0] == 200
+            assert (await (await here.caller()).request("safe", "r3"))[0] == 200
 
     run(scenario())
 
 
 def test_a_gateway_that_refuses_every_key_says_that_it_is_not_ready():
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             assert here.role.is_ready()
             here.role._on_current(1, monotonic_s() - 4.01)
             assert not here.role.is_ready()
             here.role._on_current(1, monotonic_s())
             assert here.role.is_ready()
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             here.role._on_current(1, monotonic_s() - 60.0)
             assert here.role.is_ready(), "without tenants there is nothing to prove"
 
@@ -168,7 +168,7 @@
 
 def test_a_proof_that_comes_while_a_request_waits_for_it_serves_the_request():
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             here.role._on_current(1, monotonic_s() - 60.0)
             caller = await here.caller()
             caller.send("once", headers=[KEY])
@@ -181,12 +181,12 @@
 
 def test_a_key_counts_as_unknown_only_by_what_is_known_to_be_current():
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             here.role._on_current(1, monotonic_s() - 2.0)
             headers = ["Authorization: Bearer new-key"]
-            assert (await (await here.caller()).ask("once", headers=headers))[0] == 503
+            assert (await (await here.caller()).request("once", headers=headers))[0] == 503
             here.role._on_current(1, monotonic_s())
-            assert (await (await here.caller()).ask("once", "r2", headers=headers))[0] == 401
+            assert (await (await here.caller()).request("once", "r2", headers=headers))[0] == 401
 
     run(scenario())
 
@@ -194,7 +194,7 @@
 def test_the_proof_is_looked_at_again_after_the_connection_has_come_up():
     # A gateway that freezes between its check and its send wakes up with a proof that is too old.
     async def scenario():
-        async with world(good, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=keyed()) as here:
             acquire = here.role.pool.acquire
 
             async def slow(*arguments):
@@ -203,7 +203,7 @@
                 return connection
 
             here.role.pool.acquire = slow
-            assert (await (await here.caller()).ask("once", headers=[KEY]))[0] == 503
+            assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 503
             assert here._replicas[0].requests == []
 
     run(scenario())
@@ -220,12 +220,12 @@
 
 def test_a_request_counts_its_tokens_in_and_out_or_the_plain_figure():
     async def scenario():
-        async with world(good, configuration=keyed(LIMITED)) as here:
+        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
             leader = limited(here, GrantReply(True, 0.0, 0.8))
             counts = f"{NAMES.token_counts.decode()}: 700,80"
             caller = await here.caller()
-            assert (await caller.ask("once", "r1", headers=[KEY, counts]))[0] == 200
-            assert (await caller.ask("once", "r2", headers=[KEY]))[0] == 200
+            assert (await caller.request("once", "r1", headers=[KEY, counts]))[0] == 200
+            assert (await caller.request("once", "r2", headers=[KEY]))[0] == 200
             assert leader.asked == [("shop", 780.0), ("shop", 200.0)]
 
     run(scenario())
@@ -233,9 +233,9 @@
 
 def test_what_is_over_the_rate_is_refused_with_the_time_at_which_there_is_room():
     async def scenario():
-        async with world(good, configuration=keyed(LIMITED)) as here:
+        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
             limited(here, GrantReply(False, 1.75, 0.8))
-            status, found, body = await (await here.caller()).ask("once", headers=[KEY])
+            status, found, body = await (await here.caller()).request("once", headers=[KEY])
             assert (status, found["retry-after"]) == (429, "1.75")
             assert here._replicas[0].requests == [] and b"not_run" in body
 
@@ -244,10 +244,10 @@
 
 def test_a_grant_that_takes_effect_later_is_waited_for():
     async def scenario():
-        async with world(good, configuration=keyed(LIMITED)) as here:
+        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
             limited(here, GrantReply(True, 0.25, 0.8))
             began_s = monotonic_s()
-            assert (await (await here.caller()).ask("once", headers=[KEY]))[0] == 200
+            assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 200
             assert monotonic_s() - began_s >= 0.25
 
     run(scenario())
@@ -255,9 +255,9 @@
 
 def test_a_grant_that_was_too_long_on_its_way_is_not_used():
     async def scenario():
-        async with world(good, configuration=keyed(LIMITED)) as here:
+        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
             leader = limited(here, GrantReply(True, 0.0, 0.0), GrantReply(True, 0.0, 0.8))
-            assert (await (await here.caller()).ask("once", headers=[KEY]))[0] == 200
+            assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 200
             assert len(leader.asked) == 2
 
     run(scenario())
@@ -265,9 +265,9 @@
 
 def test_without_a_leader_nothing_runs_on_a_limited_rate():
     async def scenario():
-        async with world(good, configuration=keyed(LIMITED)) as here:
+        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
             limited(here, NotLeader(None))
-            status, found, _ = await (await here.caller()).ask("once", headers=[KEY])
+            status, found, _ = await (await here.caller()).request("once", headers=[KEY])
             assert status == 503 and "retry-after" in found
             assert here._replicas[0].requests == []
 
@@ -276,12 +276,12 @@
 
 def test_units_of_a_request_that_no_replica_ran_serve_the_next_one():
     async def scenario():
-        async with world(not_run, configuration=keyed(LIMITED)) as here:
+        async with world(reject_not_run, configuration=keyed(LIMITED)) as here:
             leader = limited(here, GrantReply(True, 0.0, 30.0))
-            assert (await (await here.caller()).ask("once", "r1", headers=[KEY]))[0] == 503
-            here._replicas[0].script = good
+            assert (await (await here.caller()).request("once", "r1", headers=[KEY]))[0] == 503
+            here._replicas[0].script = respond_ok
             here.role.registry.find("i-1").availability.missing_resources.clear()
-            assert (await (await here.caller()).ask("once", "r2", headers=[KEY]))[0] == 200
+            assert (await (await here.caller()).request("once", "r2", headers=[KEY]))[0] == 200
             assert len(leader.asked) == 1
 
     run(scenario())
@@ -292,7 +292,7 @@
 
     async def closes_first(headers, writer, number):
         begun.append(number)
-        return False if len(begun) == 1 else await good(headers, writer, number)
+        return False if len(begun) == 1 else await respond_ok(headers, writer, number)
 
     async def scenario():
         plain = keyed(LIMITED)
@@ -302,7 +302,7 @@
             leader = limited(here, GrantReply(True, 0.0, 0.8))
             # Whichever replica is asked first breaks off, and the other one runs it again.
             for number in range(6):
-                await (await here.caller()).ask("safe", f"r{number}", headers=[KEY])
+                await (await here.caller()).request("safe", f"r{number}", headers=[KEY])
             ran = sum(len(replica.requests) for replica in here._replicas)
             assert ran == 7 and len(leader.asked) == 7
 
@@ -311,12 +311,12 @@
 
 def test_a_caller_that_leaves_while_its_units_are_asked_for_costs_no_run():
     async def scenario():
-        async with world(silent, configuration=keyed(LIMITED)) as here:
+        async with world(never_respond, configuration=keyed(LIMITED)) as here:
             limited(here, GrantReply(True, 0.28, 0.8))
             caller = await here.caller()
             caller.send("once", headers=[KEY])
             await asyncio.sleep(0.1)
-            caller.leave()
+            caller.disconnect()
             await asyncio.sleep(0.4)
             assert here._replicas[0].requests == []
 
--- a/tests/test_identical_requests.py
+++ b/tests/test_identical_requests.py
@@ -10,7 +10,7 @@
 from crowsill.gateway import crash_guard, repeat_guard
 from crowsill.state.crash_record import CrashRecord
 from tests.crash_world import Port, Watched, at, request, settle, suspect
-from tests.gateway_world import good, run, world
+from tests.gateway_world import respond_ok, run, world
 
 
 def test_a_request_that_succeeded_shortly_before_is_no_suspect():
@@ -51,11 +51,11 @@
 
 def test_small_requests_that_succeed_are_remembered_even_without_a_suspect():
     async def scenario():
-        async with world(good) as played:
+        async with world(respond_ok) as played:
             role = played.role
             caller = await played.caller()
-            await caller.ask("once", "r1", b"small")
-            await caller.ask("once", "r2", b"x" * (repeat_guard.MAX_REMEMBERED_BODY_BYTES + 1))
+            await caller.request("once", "r1", b"small")
+            await caller.request("once", "r2", b"x" * (repeat_guard.MAX_REMEMBERED_BODY_BYTES + 1))
             now_s = asyncio.get_running_loop().time()
             small = request(target=b"/once/x?q=1", host="h.example", body=b"small")
             assert role.crash_guard.succeeded_recently(role.fingerprints.of(small, ""), now_s)
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.gateway_world import answer, good, run, world
+from tests.gateway_world import encode_response, respond_ok, run, world
 
 
 class FaultError(Exception):
@@ -23,20 +23,20 @@
 @pytest.mark.parametrize("fault_point", ["before sending", "while handling the response"])
 def test_internal_error_gets_a_response_and_releases_the_replica(monkeypatch, fault_point):
     async def scenario():
-        async with world(good) as running_world:
+        async with world(respond_ok) as running_world:
             role = running_world.role
             if fault_point == "before sending":
                 monkeypatch.setattr(role.demand, "note_request", _raise)
             else:
                 monkeypatch.setattr(role.crash_watch, "note_success", _raise)
             caller = await running_world.caller()
-            status, headers, body = await caller.ask("safe", "r1", b"x")
+            status, headers, body = await caller.request("safe", "r1", b"x")
             assert status == 500 and "retry-after" not in headers
             assert b'"kind":"internal","outcome":"unknown"' in body
             monkeypatch.undo()
             assert [record.in_flight for record in role.registry.of_service("plain")] == [0]
             # The same connection serves the next request.
-            status, _, body = await caller.ask("safe", "r2", b"x")
+            status, _, body = await caller.request("safe", "r2", b"x")
             assert (status, body) == (200, b"fine")
 
     run(scenario())
@@ -45,7 +45,9 @@
 def test_internal_error_after_the_first_byte_closes_the_connection(monkeypatch):
     async def streams(headers, writer, _number):
         request_id = headers["crowsill-request-id"]
-        response_head = answer(request_id, b"", length=False, extra="Transfer-Encoding: chunked")
+        response_head = encode_response(
+            request_id, b"", length=False, extra="Transfer-Encoding: chunked"
+        )
         writer.write(response_head + b"1\r\na\r\n")
         await asyncio.sleep(0.1)
         writer.write(b"0\r\n\r\n")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -18,7 +18,7 @@
 from crowsill.state.crash_record import MAX_SUSPECTS, CrashRecord
 from crowsill.state.machine import StateMachine
 from tests.crash_world import request, suspect
-from tests.gateway_world import ID, answer, good, run, world
+from tests.gateway_world import ID, encode_response, respond_ok, run, world
 
 KEY = b"k" * 32
 
@@ -67,7 +67,7 @@
     seen = []
 
     async def scenario():
-        async with world(good) as played:
+        async with world(respond_ok) as played:
             role = played.role
             handle = role.handle
             role.handle = lambda connection, read: (
@@ -75,7 +75,7 @@
                 handle(connection, read),
             )
             caller = await played.caller()
-            await caller.ask("once", "r1", b"abcdef")
+            await caller.request("once", "r1", b"abcdef")
             lines = ["POST /once/x?q=1 HTTP/1.1", f"{ID}: r2", "HOST: h.example:80"]
             head = "\r\n".join([*lines, "Transfer-Encoding: chunked"]) + "\r\n\r\n"
             caller.writer.write(head.encode() + b"2\r\nab\r\n4\r\ncdef\r\n0\r\n\r\n")
@@ -214,18 +214,18 @@
 
 def test_a_quarantined_request_is_rejected_at_once_as_not_run():
     async def scenario():
-        async with world(good, good) as played:
+        async with world(respond_ok, respond_ok) as played:
             caller = await played.caller()
             role = played.role
             found = request(target=b"/once/x?q=1", host="h.example", body=b"culprit")
             _quarantine(role, role.fingerprints.of(found, ""))
             counted = []
             role.demand.note_request = lambda *words: counted.append(words)
-            status, headers, body = await caller.ask("once", "r1", b"culprit")
+            status, headers, body = await caller.request("once", "r1", b"culprit")
             assert (status, headers["retry-after"]) == (503, "300")
             assert b'"kind":"quarantined","outcome":"not_run"' in body
             assert counted == []
-            status, _, _ = await caller.ask("once", "r2", b"innocent")
+            status, _, _ = await caller.request("once", "r2", b"innocent")
             assert status == 200 and len(counted) == 1
             assert sum(len(replica.requests) for replica in played._replicas) == 1
 
@@ -241,7 +241,7 @@
         running.highest = max(running.highest, running.now)
         await gate.wait()
         running.now -= 1
-        writer.write(answer(headers[ID]))
+        writer.write(encode_response(headers[ID]))
         return True
 
     async def scenario():
@@ -253,7 +253,7 @@
             role.crash_guard.adopt(record.full_change(), True)
             callers = [await played.caller() for _ in range(3)]
             asking = [
-                asyncio.create_task(caller.ask("once", f"r{number}", b"s"))
+                asyncio.create_task(caller.request("once", f"r{number}", b"s"))
                 for number, caller in enumerate(callers)
             ]
             await asyncio.sleep(0.3)
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -20,7 +20,7 @@
 from crowsill_lab.soak.limits import CONTACT_S, TOLD_S, WINDOW_S, allowed
 from crowsill_lab.windows import fullest_window
 from tests.gateway_world import ID as LOCAL_ID
-from tests.gateway_world import answer, good, run, world
+from tests.gateway_world import encode_response, respond_ok, run, world
 from tests.platform_site import ID, StandInReplica
 from tests.watched_site import PLAYED_S, send_requests, site_of_three, start_replicas
 
@@ -223,7 +223,7 @@
 
     async def script(headers, writer, number):
         extra = f"Crowsill-Server-Limit: {value}" if number <= times else ""
-        writer.write(answer(headers[LOCAL_ID], extra=extra))
+        writer.write(encode_response(headers[LOCAL_ID], extra=extra))
         return True
 
     return script
@@ -241,7 +241,7 @@
 def test_a_limit_is_passed_on_to_the_caller():
     async def scenario():
         async with world(limits("2.5")) as here:
-            _, found, _ = await (await here.caller()).ask("once")
+            _, found, _ = await (await here.caller()).request("once")
             assert found["crowsill-server-limit"] == "2.5"
 
     run(scenario())
@@ -249,10 +249,10 @@
 
 def test_without_a_leader_a_replica_with_a_limit_gets_nothing_and_another_one_is_used():
     async def scenario():
-        async with world(limits("2"), good) as here:
+        async with world(limits("2"), respond_ok) as here:
             with_leader(here)
             for _ in range(10):
-                assert (await (await here.caller()).ask("once"))[0] == 200
+                assert (await (await here.caller()).request("once"))[0] == 200
             # None of them was granted: it has had the request whose answer named the limit.
             assert len(here._replicas[0].requests) <= 1
 
@@ -263,10 +263,10 @@
     async def scenario():
         async with world(limits("2")) as here:
             leader = with_leader(here, GrantReply(False, 1.5, 0.0))
-            assert (await (await here.caller()).ask("once"))[0] == 200
+            assert (await (await here.caller()).request("once"))[0] == 200
             loop = asyncio.get_running_loop()
             asked_s = loop.time()
-            status, found, body = await (await here.caller()).ask("short")
+            status, found, body = await (await here.caller()).request("short")
             assert status == 503 and b"its limit allows: i-1" in body
             assert loop.time() - asked_s < 0.25
             assert 1.4 < float(found["retry-after"]) < 2.1
@@ -281,11 +281,11 @@
         async with world(limits("2")) as here:
             with_leader(here, GrantReply(True, 0.2, GRANT_LIFETIME_S), GrantReply(True, 0.0, -1.0))
             caller = await here.caller()
-            assert (await caller.ask("once", "r1"))[0] == 200
+            assert (await caller.request("once", "r1"))[0] == 200
             asked_s = asyncio.get_running_loop().time()
-            assert (await caller.ask("once", "r2"))[0] == 200
+            assert (await caller.request("once", "r2"))[0] == 200
             assert asyncio.get_running_loop().time() - asked_s >= 0.2
-            assert (await caller.ask("short", "r3"))[0] == 503
+            assert (await caller.request("short", "r3"))[0] == 503
             assert len(here._replicas[0].requests) == 2
 
     run(scenario())
@@ -296,8 +296,8 @@
         async with world(limits("2", times=1)) as here:
             with_leader(here, GRANTED)
             caller = await here.caller()
-            assert (await caller.ask("once", "r1"))[0] == 200
-            assert (await caller.ask("once", "r2"))[0] == 200
+            assert (await caller.request("once", "r1"))[0] == 200
+            assert (await caller.request("once", "r2"))[0] == 200
             limit = here.role.registry.find("i-1").availability.limit
             assert not limit.is_advertised
             ended_s = limit.lifted_at_s
@@ -309,12 +309,12 @@
 
 def test_what_others_heard_binds_a_gateway_that_has_heard_nothing():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0))
             here.role.registry.note_limit_reports(
                 [LimitReport("i-1", 1.0, 0.2)], asyncio.get_running_loop().time()
             )
-            assert (await (await here.caller()).ask("short"))[0] == 503
+            assert (await (await here.caller()).request("short"))[0] == 503
             assert len(leader.asked) == 1 and not here._replicas[0].requests
 
     run(scenario())
@@ -412,7 +412,7 @@
     async def scenario():
         async with world(limits("2")) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0), GRANTED)
-            assert (await (await here.caller()).ask("once"))[0] == 200
+            assert (await (await here.caller()).request("once"))[0] == 200
             availability = here.role.registry.find("i-1").availability
             waited = asyncio.create_task(
                 here.role.replica_grants.acquire(here.role.registry.find("i-1"), is_urgent=False)
@@ -420,7 +420,7 @@
             assert await waited is None
             now_s = asyncio.get_running_loop().time()
             assert availability.urgent_opens_at_s < now_s < availability.opens_at_s(is_urgent=False)
-            assert (await (await here.caller()).ask("short"))[0] == 200
+            assert (await (await here.caller()).request("short"))[0] == 200
             assert len(leader.asked) == 2
 
     run(scenario())
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -23,9 +23,9 @@
     ID,
     NOT_RUN,
     STAMP,
-    answer,
-    good,
+    encode_response,
     instance,
+    respond_ok,
     routes,
     run,
     world,
@@ -41,9 +41,9 @@
 
     async def script(headers, writer, number):
         if number > times:
-            return await good(headers, writer, number)
+            return await respond_ok(headers, writer, number)
         lines = [f"Retry-After: {rest}", *([f"{NOT_RUN}: 1"] if mark else [])]
-        writer.write(answer(headers[ID], b"", status, "\r\n".join(lines)))
+        writer.write(encode_response(headers[ID], b"", status, "\r\n".join(lines)))
         return True
 
     return script
@@ -113,20 +113,20 @@
             caller = await here.caller()
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            status, headers, _ = await caller.ask("short")
+            status, headers, _ = await caller.request("short")
             assert status == 503
             told_s = loop.time() - began_s + float(headers["retry-after"])
             assert 2.0 <= told_s < 2.0 + LATEST_RETURN_S
             for _ in range(5):
                 caller = await here.caller()
                 asked_s = loop.time()
-                status, headers, body = await caller.ask("short")
+                status, headers, body = await caller.request("short")
                 assert status == 503 and b"i-1" in body
                 assert loop.time() - asked_s < 1.0
                 assert loop.time() - began_s + float(headers["retry-after"]) >= 2.0
             assert len(here._replicas[0].requests) == 1
             await asyncio.sleep(2.05 - (loop.time() - began_s))
-            status, _, _ = await (await here.caller()).ask("short")
+            status, _, _ = await (await here.caller()).request("short")
             assert status == 200
 
     run(scenario())
@@ -137,7 +137,7 @@
         async with world(sheds("0.4")) as here:
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            status, _, _ = await (await here.caller()).ask("once")
+            status, _, _ = await (await here.caller()).request("once")
             assert status == 200 and 0.4 <= loop.time() - began_s < 1.0
             assert len(here._replicas[0].requests) == 2
 
@@ -148,7 +148,7 @@
     async def scenario():
         async with world(sheds("0.4")) as here:
             callers = [await here.caller() for _ in range(9)]
-            assert (await (await here.caller()).ask("short"))[0] == 503
+            assert (await (await here.caller()).request("short"))[0] == 503
             for number, caller in enumerate(callers):
                 caller.send("once", f"r{number}")
             answers = [await caller.head() for caller in callers]
@@ -195,7 +195,7 @@
     async def script(headers, writer, number):
         if number == 1:
             await answered.wait()
-            return await good(headers, writer, number)
+            return await respond_ok(headers, writer, number)
         return await sheds("1.0", 99)(headers, writer, number)
 
     async def scenario():
@@ -203,11 +203,11 @@
             early = await here.caller()
             early.send("once", "early")
             await asyncio.sleep(0.1)
-            assert (await (await here.caller()).ask("short"))[0] == 503
+            assert (await (await here.caller()).request("short"))[0] == 503
             answered.set()
             assert (await early.head())[0] == 200
             for _ in range(3):
-                assert (await (await here.caller()).ask("short"))[0] == 503
+                assert (await (await here.caller()).request("short"))[0] == 503
             assert len(here._replicas[0].requests) == 2
 
     run(scenario())
@@ -215,7 +215,7 @@
 
 def test_a_request_whose_connection_comes_up_in_a_rest_is_not_sent():
     async def scenario():
-        async with world(good, good) as here:
+        async with world(respond_ok, respond_ok) as here:
             await asyncio.sleep(0)
             opened = here.role.pool.acquire
 
@@ -229,7 +229,7 @@
 
             here.role.pool.acquire = slowly
             for number in range(6):
-                assert (await (await here.caller()).ask("once", f"r{number}"))[0] == 200
+                assert (await (await here.caller()).request("once", f"r{number}"))[0] == 200
             assert len(here._replicas[0].requests) == 0
             assert len(here._replicas[1].requests) == 6
             assert here.role.registry.find("i-1").in_flight == 0
@@ -241,7 +241,7 @@
     async def scenario():
         async with world(sheds("5.0", 99, mark=False), sheds("5.0", 99, "429 Many")) as here:
             for number in range(4):
-                await (await here.caller()).ask("safe", f"r{number}")
+                await (await here.caller()).request("safe", f"r{number}")
             assert [len(replica.requests) for replica in here._replicas] == [1, 1]
 
     run(scenario())
@@ -257,14 +257,14 @@
         await asyncio.sleep(0.05)
         running.remove(number)
         seen.append(len(running) + 1)
-        return await good(headers, writer, number)
+        return await respond_ok(headers, writer, number)
 
     seen = []
 
     async def scenario():
         async with world(script) as here:
             callers = [await here.caller() for _ in range(12)]
-            assert (await (await here.caller()).ask("short"))[0] == 503
+            assert (await (await here.caller()).request("short"))[0] == 503
             # In the rest most of them would be refused.
             await asyncio.sleep(0.32)
             for number, caller in enumerate(callers):
@@ -286,7 +286,7 @@
 
 def test_a_replica_leaves_from_the_head_of_a_stream_on():
     async def scenario():
-        async with world(_leaving_stream, good) as here:
+        async with world(_leaving_stream, respond_ok) as here:
             here.role.registry.find("i-2").availability.note_backoff(
                 0.2, asyncio.get_running_loop().time()
             )
@@ -298,7 +298,7 @@
             # A push that still says ready changes nothing.
             here.adopt([msgspec.structs.replace(item) for item in _listed(here)])
             for number in range(4):
-                assert (await (await here.caller()).ask("once", f"r{number}"))[0] == 200
+                assert (await (await here.caller()).request("once", f"r{number}"))[0] == 200
             assert len(here._replicas[0].requests) == 1
             assert await streaming.body(headers) == b"ab"
 
@@ -316,18 +316,18 @@
 )
 def test_every_answer_may_say_that_its_replica_leaves(head):
     async def script(headers, writer, _number):
-        writer.write(answer(headers[ID], b"", head, LEAVES))
+        writer.write(encode_response(headers[ID], b"", head, LEAVES))
         return True
 
     async def scenario():
-        async with world(script, good) as here:
+        async with world(script, respond_ok) as here:
             here.role.registry.find("i-2").availability.note_backoff(
                 0.2, asyncio.get_running_loop().time()
             )
-            await (await here.caller()).ask("safe", "r1")
+            await (await here.caller()).request("safe", "r1")
             await asyncio.sleep(0.25)
             for number in range(4):
-                assert (await (await here.caller()).ask("once", f"r{number}"))[0] == 200
+                assert (await (await here.caller()).request("once", f"r{number}"))[0] == 200
             assert len(here._replicas[0].requests) == 1
             assert (
                 here.role.registry.find("i-1").availability.exclusion(0.0).reason
@@ -339,7 +339,7 @@
 
 def test_a_head_request_tells_it_too():
     async def script(headers, writer, _number):
-        writer.write(answer(headers[ID], b"", extra=LEAVES))
+        writer.write(encode_response(headers[ID], b"", extra=LEAVES))
         return True
 
     async def scenario():
@@ -360,13 +360,13 @@
 
     async def script(headers, writer, _number):
         extra = f"Retry-After: soon\r\n{NOT_RUN}: 1\r\ncrowsill-server-leaving: maybe"
-        writer.write(answer(headers[ID], b"", "503 Full", extra))
+        writer.write(encode_response(headers[ID], b"", "503 Full", extra))
         return True
 
     async def scenario():
         async with world(script, configuration=routes()) as here:
             for number in range(3):
-                await (await here.caller()).ask("short", f"r{number}")
+                await (await here.caller()).request("short", f"r{number}")
             assert here.role.registry.find("i-1").availability.exclusion(0.0) is None
             assert lines.count("SIGNAL_UNREADABLE") == 1
             assert "REPLICA_RESTS" not in lines
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -11,7 +11,7 @@
 from crowsill.state.commands import OrderKind
 from crowsill_lab.relay import SilencingRelay
 from tests.control_group import ControlGroup, FollowingGateway, until
-from tests.gateway_world import LOCAL, Caller, good, silent, world
+from tests.gateway_world import LOCAL, Caller, never_respond, respond_ok, world
 from tests.platform_site import ROOT
 
 sys.path.insert(0, str(ROOT / "platform"))
@@ -60,7 +60,7 @@
     # A request on such a connection waits for its deadline, since it may have run. The other idle
     # connections to that replica are as old and must not cost a request each.
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             relay = SilencingRelay()
             (port,) = free_ports(1)
             await relay.listen(port, here._replicas[0].port)
@@ -73,10 +73,10 @@
                 await caller.body(headers)
             assert here.role.pool.has_idle("i-2")
             relay.silence(to_target=True, to_caller=True)
-            status, _, _ = await callers[0].ask("once", headers=["crowsill-deadline-ms: 1800"])
+            status, _, _ = await callers[0].request("once", headers=["crowsill-deadline-ms: 1800"])
             assert status == 504
             await until(lambda: not here.role.registry.find("i-2").availability.is_unreachable)
-            status, _, _ = await callers[1].ask("once", headers=["crowsill-deadline-ms: 1800"])
+            status, _, _ = await callers[1].request("once", headers=["crowsill-deadline-ms: 1800"])
             assert status == 200
             relay.close()
 
@@ -147,7 +147,7 @@
     # Behind a relay that still acknowledges, the gateway can't detect that the caller is gone. The
     # deadline ends the request, and the gateway continues to serve others.
     async def scenario():
-        async with world(silent) as here:
+        async with world(never_respond) as here:
             relay = SilencingRelay()
             (port,) = free_ports(1)
             await relay.listen(port, here.role.port())
@@ -159,7 +159,7 @@
             record = here.role.registry.find("i-1")
             await until(lambda: record.in_flight == 0)
             other = await here.caller()
-            status, _, _ = await other.ask("unknown-route")
+            status, _, _ = await other.request("unknown-route")
             assert status == 404
             relay.close()
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -9,7 +9,7 @@
 
 from crowsill import clock, event_loop
 from crowsill.event_loop import DaemonEventLoop
-from tests.gateway_world import NAMES, good, world
+from tests.gateway_world import NAMES, respond_ok, world
 
 DEADLINE = NAMES.deadline.decode()
 ASLEEP_S = 2.0
@@ -37,7 +37,7 @@
 
 def test_a_request_held_across_a_suspension_gets_no_more_time_than_is_left(monkeypatch):
     async def scenario():
-        async with world(good) as played:
+        async with world(respond_ok) as played:
             known = [record.instance for record in played.role.registry.of_service("plain")]
             played.adopt([])
             caller = await played.caller()
@@ -57,7 +57,7 @@
 
 def test_a_request_whose_time_ended_during_a_suspension_is_sent_nowhere(monkeypatch):
     async def scenario():
-        async with world(good) as played:
+        async with world(respond_ok) as played:
             known = [record.instance for record in played.role.registry.of_service("plain")]
             played.adopt([])
             caller = await played.caller()
--- a/tests/test_unnamed_refusals.py
+++ b/tests/test_unnamed_refusals.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.gateway_world import ID, answer, not_run, run, world
+from tests.gateway_world import ID, encode_response, reject_not_run, run, world
 
 REQUESTS = 40
 WORK_S = 0.04
@@ -10,13 +10,13 @@
 
 async def works(headers, writer, _number):
     await asyncio.sleep(WORK_S)
-    writer.write(answer(headers[ID]))
+    writer.write(encode_response(headers[ID]))
     return True
 
 
 def turns_away_first(count):
     async def script(headers, writer, number):
-        return await (not_run if number <= count else works)(headers, writer, number)
+        return await (reject_not_run if number <= count else works)(headers, writer, number)
 
     return script
 
@@ -31,9 +31,9 @@
     """
 
     async def scenario():
-        async with world(not_run, works, models=()) as played:
+        async with world(reject_not_run, works, models=()) as played:
             caller = await played.caller()
-            statuses = [(await caller.ask("safe", f"r{n}"))[0] for n in range(REQUESTS)]
+            statuses = [(await caller.request("safe", f"r{n}"))[0] for n in range(REQUESTS)]
             asked = len(played._replicas[0].requests)
             assert asked <= REQUESTS // 4, f"{asked} times; {statuses.count(503)} refused"
             assert statuses.count(200) >= REQUESTS * 3 // 4
@@ -46,7 +46,7 @@
         async with world(turns_away_first(8), works, models=()) as played:
             callers = [await played.caller() for _ in range(8)]
             for number in range(REQUESTS):
-                asks = [caller.ask("safe", f"r{number}") for caller in callers]
+                asks = [caller.request("safe", f"r{number}") for caller in callers]
                 await asyncio.gather(*asks)
             asked = [len(replica.requests) for replica in played._replicas]
             assert asked[0] - 8 >= REQUESTS * len(callers) // 4
