--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -34,7 +34,7 @@
 from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
 from crowsill.settings import GatewaySettings, Settings
 from crowsill.state.route_store import RouteDocument
-from crowsill.tenancy.identity import proves_keys
+from crowsill.tenancy.identity import is_key_proof_fresh
 from crowsill.transport.replica_messages import ReplicaLimitsNotice
 from crowsill.transport.sockets import bound_silence
 from crowsill.transport.stream import LocalIdentity
@@ -161,7 +161,7 @@
         table = self.table
         if table is None or self._stopping:
             return False
-        return table.tenants is None or proves_keys(self.proof_age_s(), self.revocation_s)
+        return table.tenants is None or is_key_proof_fresh(self.proof_age_s(), self.revocation_s)
 
     # Hooks of the follower and the crash watch.
 
--- a/src/crowsill/placement/__init__.py
+++ b/src/crowsill/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Pure placement: memory ledger, planner, order sequencing, pacing."""
+"""Placement of models on engines, without I/O: planners, memory ledger, orders and pacing."""
--- a/src/crowsill/routing/__init__.py
+++ b/src/crowsill/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pure routing decisions: candidates, load estimates, limits, health."""
+"""Routing decisions without I/O: candidates, load estimates, limits and health."""
--- a/src/crowsill/tenancy/__init__.py
+++ b/src/crowsill/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Who calls, and how much of it is allowed: for every front door."""
+"""Identification of tenants and their quotas, for entries and gateways."""
--- a/src/crowsill/tenancy/identity.py
+++ b/src/crowsill/tenancy/identity.py
@@ -1,11 +1,11 @@
-"""Whose request it is, and whether that is known well enough to run it now. Pure.
-
-A key that was taken away must run nothing later than a bound after the operator was told so, at any
-gateway, in touch with the group or not. A gateway therefore runs a request only while its proof of
-being current is younger than that bound: `proof_age_s` counts from before the gateway asked what is
-current, so whatever had been acknowledged by then is in force here. A request that is run now was
-sent before now; so a key that was taken away earlier than the bound before its sending was taken
-away before the question, and is not in the ring any more.
+"""Identification of the tenant of a request, with a bound on the age of the known keys. Pure.
+
+After a revocation is acknowledged to the operator, the revoked key must not run any request later
+than a bound, at any gateway, connected to the group or not. So a gateway runs a request only while
+its freshness proof is younger than the bound. `proof_age_s` counts from the time before the gateway
+queried the group, so every change that was acknowledged by then is active at the gateway. If a key
+was revoked longer than the bound before a request was sent, it was revoked before that query, and
+the gateway's key ring no longer holds it.
 """
 
 from dataclasses import dataclass
@@ -14,34 +14,37 @@
 from crowsill.model.tenants import Tenant
 from crowsill.tenancy.key_ring import KeyRing
 
-# How long before the bound a gateway stops: what is sent to a replica is to arrive before it, and
-# the clocks of two machines may run apart. A lost packet is sent again after 0.2 to 0.6 s.
+# Time before the bound at which a gateway stops: a request must reach its replica before the bound,
+# a lost packet is sent again after 0.2 to 0.6 s, and the clocks of two machines may run at
+# different speeds.
 REVOCATION_MARGIN_S = 1.0
-# A key counts as unknown only where the proof is no older. A gateway that is in touch asks each
-# 0.5 s and waits 0.8 s at most; new keys are to be served 2 s after they were acknowledged.
-NEW_KEY_PROOF_S = 1.5
+# Maximum age of the proof with which an unlisted key counts as unknown. A connected gateway queries
+# the group every 0.5 s and waits at most 0.8 s for the response; a new key must be served 2 s after
+# it was acknowledged.
+MAX_PROOF_AGE_FOR_UNKNOWN_KEY_S = 1.5
 
 
 class IdentityFailure(StrEnum):
-    """Why a request is not run.
+    """The reason why a request is not run.
 
     Attributes:
-        UNKNOWN_KEY: Nobody has the key, by what is known to be current.
-        NOT_CURRENT: What is known here may be too old to tell.
+        UNKNOWN_KEY: No tenant has the key, by a fresh list of keys.
+        NOT_CURRENT: The list of keys may be too old for a decision.
     """
 
     UNKNOWN_KEY = "unknown_key"
     NOT_CURRENT = "not_current"
 
 
-def proves_keys(proof_age_s: float, revocation_s: float) -> bool:
-    """Whether a proof of this age tells which keys are in force.
+def is_key_proof_fresh(proof_age_s: float, revocation_s: float) -> bool:
+    """Whether a proof of this age is fresh enough to accept a key.
 
     Args:
-        proof_age_s: Time since this process asked what is current and was told.
-        revocation_s: Time after which a key that was taken away runs nothing; 0 for no bound.
+        proof_age_s: Age of the freshness proof, from before its query, in seconds.
+        revocation_s: Time after which a revoked key must not run a request, in seconds; 0 for no
+            bound.
 
-    >>> proves_keys(3.9, 5.0), proves_keys(4.1, 5.0), proves_keys(60.0, 0.0)
+    >>> is_key_proof_fresh(3.9, 5.0), is_key_proof_fresh(4.1, 5.0), is_key_proof_fresh(60.0, 0.0)
     (True, False, True)
     """
     return revocation_s <= 0.0 or proof_age_s <= revocation_s - REVOCATION_MARGIN_S
@@ -52,14 +55,14 @@
     """A caller that may use its route.
 
     Attributes:
-        tenant: Whose key it showed; None on a route that needs none.
+        tenant: The tenant of its key; None without a known key on a public route.
     """
 
     tenant: Tenant | None
 
 
 class TenantDirectory:
-    """The tenants of one configuration."""
+    """The tenants of one configuration, by name and by key."""
 
     def __init__(self, tenants: list[Tenant]) -> None:
         self._tenants = {tenant.name: tenant for tenant in tenants}
@@ -79,13 +82,14 @@
         proof_age_s: float,
         revocation_s: float,
     ) -> Principal | IdentityFailure:
-        """Decide on one request.
+        """Identify the caller of a request, or return why it can't be run.
 
         Args:
             authorizations: Values of its `Authorization` headers.
             is_public: Whether its route serves callers without a key.
-            proof_age_s: Time since this process asked what is current and was told.
-            revocation_s: Time after which a key that was taken away runs nothing; 0 for no bound.
+            proof_age_s: Age of the freshness proof, from before its query, in seconds.
+            revocation_s: Time after which a revoked key must not run a request, in seconds; 0 for
+                no bound.
 
         >>> directory = TenantDirectory([])
         >>> directory.identify([], is_public=False, proof_age_s=0.1, revocation_s=5.0).value
@@ -100,11 +104,11 @@
         if tenant is None:
             return (
                 IdentityFailure.UNKNOWN_KEY
-                if proof_age_s <= NEW_KEY_PROOF_S
+                if proof_age_s <= MAX_PROOF_AGE_FOR_UNKNOWN_KEY_S
                 else IdentityFailure.NOT_CURRENT
             )
         return (
             Principal(tenant)
-            if proves_keys(proof_age_s, revocation_s)
+            if is_key_proof_fresh(proof_age_s, revocation_s)
             else IdentityFailure.NOT_CURRENT
         )
--- a/src/crowsill/tenancy/key_ring.py
+++ b/src/crowsill/tenancy/key_ring.py
@@ -1,4 +1,4 @@
-"""From a caller's key to its tenant. Pure."""
+"""Lookup of the tenant by a caller's API key. Pure."""
 
 from collections.abc import Iterable
 
@@ -8,8 +8,8 @@
 class KeyRing:
     """Names of tenants by the digests of their keys.
 
-    A key is looked up by its digest, so the time taken tells nothing about how much of a guessed
-    key is right.
+    Keys are looked up by digest, so the lookup time doesn't reveal how much of a guessed key is
+    correct.
 
     >>> ring = KeyRing([("shop", "2d711642b726b04401627ca9fbac32f5c8530fb1903cc4db02258717921a4881")])
     >>> ring.owner([b"Bearer x"]), ring.owner([b"bearer  x"]), ring.owner([b"Bearer y"])
@@ -19,19 +19,19 @@
     """  # noqa: E501
 
     def __init__(self, keys: Iterable[tuple[str, str]]) -> None:
-        """Make a ring.
+        """Create a key ring.
 
         Args:
-            keys: Name of the tenant and SHA-256 of a key as hex, for each key.
+            keys: For each key, the name of its tenant and its SHA-256 digest as hex.
         """
         self._owners = {bytes.fromhex(digest): name for name, digest in keys}
 
     def owner(self, authorizations: list[bytes]) -> str | None:
-        """Return the tenant whose key a caller showed, or None.
+        """Return the name of the tenant whose key a caller presented, or None.
 
         Args:
-            authorizations: Values of its `Authorization` headers. More than one proves nothing:
-                what stands between might have read the other one.
+            authorizations: Values of its `Authorization` headers. More than one value identifies
+                nobody: a proxy between might have used another one.
         """
         if len(authorizations) != 1:
             return None
--- a/src/crowsill_lab/bench/quotas.py
+++ b/src/crowsill_lab/bench/quotas.py
@@ -178,7 +178,7 @@
 
 def _whole_capacity(tenant: Tenant) -> float:
     """Return the most that a bucket may hold so that no window exceeds the bound."""
-    return BOUNDS.allowed(tenant) - tenant.rate_per_s * BOUNDS.counted_s
+    return BOUNDS.allowed(tenant) - tenant.rate_per_s * BOUNDS.accounting_window_s
 
 
 @dataclass
--- a/tests/test_grant_ledger.py
+++ b/tests/test_grant_ledger.py
@@ -1,4 +1,4 @@
-"""What all gateways together may use, whatever becomes of gateways, leaders and records."""
+"""The bound on the units of a tenant over all gateways, with lost gateways, leaders and records."""
 
 from itertools import pairwise
 from random import Random
@@ -22,17 +22,17 @@
 
 
 class Group:
-    """Leaders one after the other, with what they have on record."""
+    """A sequence of leaders and their replicated record."""
 
     def __init__(self, bounds, random=None):
         self.bounds = bounds
         self.random = random
         self.use = QuotaUse()
-        self.applied_s = {}
+        self.applied_at_s = {}
         self.ledger = GrantLedger(bounds, {}, 0.0)
 
     def grant(self, tenant, units, now_s):
-        """Ask the leader; None when what it needs could not be recorded."""
+        """Request units from the leader; None if the required units couldn't be recorded."""
         decision = self.ledger.grant(tenant, units, now_s)
         if decision is None:
             self.record(now_s)
@@ -41,115 +41,120 @@
 
     def record(self, now_s):
         due = self.ledger.due(now_s)
-        luck = 1.0 if self.random is None else self.random.random()
-        if luck < 0.1:
-            return  # Neither committed nor known.
+        outcome = 1.0 if self.random is None else self.random.random()
+        if outcome < 0.1:
+            return  # The record is not committed.
         self.use.record(due)
         for name in due:
-            self.applied_s[name] = now_s
-        if luck >= 0.2:
-            self.ledger.note_recorded(due)  # Else committed, and the leader never heard of it.
-
-    def change(self, now_s):
-        """The leader is lost without a word; its successor knows what is on record."""
-        applied_s = self.applied_s
+            self.applied_at_s[name] = now_s
+        if outcome >= 0.2:
+            # Otherwise the record is committed, but the leader doesn't learn of it.
+            self.ledger.note_recorded(due)
+
+    def change_leader(self, now_s):
+        """Replace the leader without notice; its successor knows only the record."""
+        applied_at_s = self.applied_at_s
         if self.random is not None and self.random.random() < 0.3:
-            applied_s = {}  # It restarted from its disk.
+            applied_at_s = {}  # The successor has restarted from its disk.
         inherited = {
-            name: InheritedUse(units, applied_s.get(name, now_s))
+            name: InheritedUse(units, applied_at_s.get(name, now_s))
             for name, units in self.use.units.items()
         }
         self.ledger = GrantLedger(self.bounds, inherited, now_s)
 
 
-def most_in_a_window(runs, window_s):
-    """Return the most units of requests that were sent and have arrived within one window."""
+def max_units_in_a_window(runs, window_s):
+    """Return the maximum units of requests that are sent and arrive within one window."""
     return max(
         sum(
             units
-            for sent_s, arrived_s, units in runs
-            if begin_s <= sent_s and arrived_s <= begin_s + window_s
+            for sent_at_s, arrived_at_s, units in runs
+            if begin_at_s <= sent_at_s and arrived_at_s <= begin_at_s + window_s
         )
-        for begin_s, _, _ in runs
+        for begin_at_s, _, _ in runs
     )
 
 
-def play(seed, tenant, bounds, changes):
-    """Gateways that ask for more than there is, lag and restart; leaders that change."""
+def simulate(seed, tenant, bounds, changes):
+    """Simulate gateways that exceed the rate, lag and restart, and leaders that change.
+
+    Returns the time sent, the time of arrival and the units of each request.
+    """
     random = Random(seed)
     group = Group(bounds, random)
-    now_s, recorded_s, runs = 1000.0, 1000.0, []
-    usual = 1.0 if tenant is STRICT else 2400.0
+    now_s, recorded_at_s, runs = 1000.0, 1000.0, []
+    mean_units = 1.0 if tenant is STRICT else 2400.0
     while now_s < 1040.0:
-        # Pressing for some seconds, then nearly silent: what leaves the window is used at once.
+        # Overload for some seconds, then little load: units that leave the window are used at once.
         factor = 4.0 if int(now_s / 5) % 2 else 0.3
-        now_s += random.expovariate(tenant.rate_per_s * factor / usual)
+        now_s += random.expovariate(tenant.rate_per_s * factor / mean_units)
         if random.random() < changes:
             now_s += random.choice([0.0, 0.7])
-            group.change(now_s)
-        if now_s > recorded_s + 0.5:
-            recorded_s = now_s
+            group.change_leader(now_s)
+        if now_s > recorded_at_s + 0.5:
+            recorded_at_s = now_s
             group.record(now_s)
         units = 1.0 if tenant is STRICT else random.choice([200.0, 2000.0, 2600.0, 9000.0])
         decision = group.grant(tenant, units, now_s)
         if decision is None or not decision.is_granted or random.random() < 0.1:
-            continue  # Not granted, or lost with its gateway.
+            continue  # Rejected, or lost with its gateway.
         kept_s = random.choice([0.0, 0.0, 0.2, GRANT_LIFETIME_S * 0.99])
-        sent_s = now_s + decision.wait_s + kept_s
+        sent_at_s = now_s + decision.wait_s + kept_s
         # A request may arrive seconds after it was sent.
-        runs.append((sent_s, sent_s + random.choice([0.0, 0.0, 5.0]), units))
+        runs.append((sent_at_s, sent_at_s + random.choice([0.0, 0.0, 5.0]), units))
     return runs
 
 
 @pytest.mark.parametrize("changes", [0.0, 0.003, 0.05])
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("tenant", [LARGE, SMALL, NO_BURST, STRICT], ids=lambda item: item.name)
-def test_no_window_holds_more_than_the_bound(tenant, seed, changes):
+def test_no_window_exceeds_the_bound(tenant, seed, changes):
     bounds = QuotaBounds() if tenant is STRICT else BOUNDS
-    runs = play(seed, tenant, bounds, changes)
+    runs = simulate(seed, tenant, bounds, changes)
     assert runs
-    assert most_in_a_window(runs, bounds.window_s) <= bounds.allowed(tenant) + 1e-6
+    assert max_units_in_a_window(runs, bounds.window_s) <= bounds.allowed(tenant) + 1e-6
 
 
-def test_a_successor_that_knew_nothing_would_grant_too_much():
-    # The check can fail: without what is on record two leaders grant twice what is allowed.
+def test_a_successor_without_the_record_would_grant_too_much():
+    # Shows that the check can fail: without the record, two leaders grant twice the bound.
     group = Group(BOUNDS)
     granted = 0.0
     for _ in range(2):
         while group.grant(LARGE, 2000.0, 100.0).is_granted:
             granted += 2000.0
         group.use = QuotaUse()
-        group.change(100.0)
+        group.change_leader(100.0)
     assert granted > BOUNDS.allowed(LARGE) * 1.9
 
 
-def test_a_whole_window_may_be_used_at_once_and_no_more():
+def test_the_units_of_a_full_window_may_be_used_at_once_and_no_more():
     group = Group(BOUNDS)
     granted = 0.0
     while group.grant(LARGE, 2000.0, 100.0).is_granted:
         granted += 2000.0
     assert BOUNDS.allowed(LARGE) - 2000.0 < granted <= BOUNDS.allowed(LARGE)
-    refused = group.grant(LARGE, 2000.0, 100.0)
-    assert not refused.is_granted and refused.wait_s > 4.0
+    rejected = group.grant(LARGE, 2000.0, 100.0)
+    assert not rejected.is_granted and rejected.wait_s > 4.0
 
 
-def test_a_tenant_at_its_usual_use_is_refused_nothing_though_leaders_change():
-    # 0.55 of the rate, a leader lost every 3 s: without ages what an earlier leader granted 9 s ago
-    # counted as new, and each change refused a tenth of the next seconds.
+def test_a_tenant_below_its_rate_is_rarely_rejected_when_leaders_change():
+    # 0.55 of the rate, and a leader lost every 3 s. Without ages, units that an earlier leader
+    # granted 9 s ago count as new, and each change rejects a tenth of the requests of the next
+    # seconds.
     random = Random(7)
     group = Group(BOUNDS)
-    now_s, changed_s, refused, asked = 50.0, 50.0, 0, 0
+    now_s, changed_at_s, rejected, requested = 50.0, 50.0, 0, 0
     while now_s < 110.0:
         now_s += random.expovariate(LARGE.rate_per_s * 0.55 / 2200.0)
-        if now_s > changed_s + 3.0:
-            changed_s = now_s
-            group.change(now_s)
-        asked += 1
-        refused += not group.grant(LARGE, 2200.0, now_s).is_granted
-    assert refused < asked * 0.05, f"{refused} of {asked}"
+        if now_s > changed_at_s + 3.0:
+            changed_at_s = now_s
+            group.change_leader(now_s)
+        requested += 1
+        rejected += not group.grant(LARGE, 2200.0, now_s).is_granted
+    assert rejected < requested * 0.05, f"{rejected} of {requested}"
 
 
-def test_a_lower_rate_holds_from_the_first_question_after_it():
+def test_a_lower_rate_is_in_effect_from_the_next_request_on():
     group = Group(BOUNDS)
     lower = Tenant("large", rate_per_s=4200.0, burst=4200.0, unit=RateUnit.TOKENS)
     assert group.grant(LARGE, 90000.0, 100.0).is_granted
@@ -160,7 +165,7 @@
     assert granted <= BOUNDS.allowed(lower)
 
 
-def test_nothing_is_granted_beyond_what_is_on_record():
+def test_no_units_are_granted_beyond_the_record():
     ledger = GrantLedger(BOUNDS, {}, 0.0)
     assert ledger.grant(LARGE, 2000.0, 100.0) is None
     due = ledger.due(100.0)
@@ -172,7 +177,7 @@
     assert 0.0 < granted <= sum(due["large"])
 
 
-def test_a_lower_record_holds_before_it_is_committed():
+def test_a_lower_reserve_is_in_effect_before_it_is_committed():
     group = Group(BOUNDS)
     for _ in range(100):
         group.grant(LARGE, 2000.0, 100.0)
@@ -184,7 +189,7 @@
     assert granted <= lower
 
 
-def test_a_tenant_that_uses_nothing_is_forgotten():
+def test_a_tenant_without_use_is_removed_from_the_record():
     group = Group(BOUNDS)
     group.grant(SMALL, 2000.0, 100.0)
     assert "small" in group.use.units
@@ -192,17 +197,17 @@
     assert group.use.units == {}
 
 
-def test_more_than_a_window_allows_is_refused_at_once():
+def test_more_units_than_a_window_allows_are_rejected_at_once():
     decision = Group(BOUNDS).grant(SMALL, BOUNDS.allowed(SMALL) + 1.0, 100.0)
     assert not decision.is_granted
 
 
-def test_those_who_are_refused_are_told_to_come_back_one_after_the_other():
+def test_rejected_requests_get_staggered_retry_times():
     group = Group(BOUNDS)
     while group.grant(SMALL, 2100.0, 100.0).is_granted:
         pass
     group.ledger.grant(SMALL, 2100.0, 105.0)
-    told = [group.grant(SMALL, 2100.0, 105.0).wait_s for _ in range(4)]
-    assert [round(later - earlier, 3) for earlier, later in pairwise(told)] == [0.5] * 3
-    # Nobody is told more than a window: what was used by then counts no more.
+    waits_s = [group.grant(SMALL, 2100.0, 105.0).wait_s for _ in range(4)]
+    assert [round(later - earlier, 3) for earlier, later in pairwise(waits_s)] == [0.5] * 3
+    # No wait exceeds the window, since all units used before then have left it.
     assert max(group.grant(SMALL, 2100.0, 105.0).wait_s for _ in range(100)) == BOUNDS.window_s
