--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -13,7 +13,7 @@
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.response import encode_problem
 from crowsill.gateway.selection import NoReplicaReason
-from crowsill.gateway.waiting import RefusedRequest
+from crowsill.gateway.waiting import RejectedRequest
 
 # `Retry-After` of a request that was not sent before its deadline.
 NOT_SENT_RETRY_S = 0.3
@@ -56,20 +56,20 @@
         self._log.log_finished(end.status, self._progress.attempts, self._progress.attempt)
         self._caller.finish(not close)
 
-    def give_up(self, refused: RefusedRequest) -> None:
+    def give_up(self, refused: RejectedRequest) -> None:
         """Reject the request because no replica can take it."""
         reason = refused.reason
         if self._progress.may_have_run:
             self.reject(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {reason}")
             return
-        kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last}"
+        kind, detail = ErrorKind.OVERLOADED, f"every replica is full: {self._progress.last_failure}"
         if reason is NoReplicaReason.NO_MODEL:
             kind, detail = ErrorKind.NO_REPLICA, "no replica holds the model yet"
         elif reason is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
         elif reason is NoReplicaReason.ALL_CLOSED:
             detail = refused.detail or "every replica that could run it is temporarily excluded"
-        self.reject(kind, detail, round(refused.back_s, 2))
+        self.reject(kind, detail, round(refused.retry_after_s, 2))
 
     def time_out(self) -> None:
         """End the request at its deadline, or because the process stops."""
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -7,7 +7,7 @@
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
 from crowsill.gateway.rejection import Rejection
-from crowsill.gateway.replica_feedback import FAILED_STATUS
+from crowsill.gateway.replica_feedback import MIN_SERVER_ERROR_STATUS
 from crowsill.gateway.request import CallerRequest
 from crowsill.model.instances import Instance
 from crowsill.model.suspects import MAX_HOST_AND_PATH_LENGTH, SuspectRequest
@@ -99,7 +99,7 @@
         if end.is_broken:
             watch.note_broken_response(instance, self._suspect_request(sent_at_s))
             return
-        succeeded = end.result is AttemptResult.COMPLETE and end.status < FAILED_STATUS
+        succeeded = end.result is AttemptResult.COMPLETE and end.status < MIN_SERVER_ERROR_STATUS
         is_small = len(self._request.body) <= MAX_REMEMBERED_BODY_BYTES
         if succeeded and (guard.has_suspects or is_small):
             watch.note_success(self._fingerprint)
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -1,4 +1,4 @@
-"""What a sending to a replica teaches: how fast it is, what it lacks, whether it is there."""
+"""Updates the state of a replica from the attempts at it: latency, resources, reachability."""
 
 import asyncio
 
@@ -14,15 +14,17 @@
 from crowsill.model.routes import Route
 from crowsill.routing.retry_after import REJECTION_STATUSES
 
-# A first event that took more than this share of its target tells placement of too few copies.
-PRESSED_SHARE = 0.6
-# A replica that did not begin to answer for so long is tried by a new connection first.
-SILENCE_S = 1.5
-FAILED_STATUS = 500
+# A first event that took more than this share of its target reports an overloaded model to
+# placement, which then needs more model copies.
+OVERLOADED_TARGET_SHARE = 0.6
+# After this time without a response head, a replica must accept a new connection before it is sent
+# further requests.
+SILENT_REPLICA_S = 1.5
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class ReplicaFeedback:
-    """Takes in the ends of one request's sendings."""
+    """Records the results of one request's attempts."""
 
     def __init__(
         self,
@@ -37,59 +39,63 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
 
-    def take_signals(
-        self, record: ReplicaRecord, sent_s: float, status: int, signals: ReplicaSignals
+    def process_signals(
+        self, record: ReplicaRecord, sent_at_s: float, status: int, signals: ReplicaSignals
     ) -> None:
-        """Take in what the head of an answer says of its replica, as it comes."""
+        """Apply the signals of a response head as soon as it arrives."""
         now_s = self._loop.time()
-        if signals.unread and not record.availability.had_unreadable_signal:
+        if signals.unreadable and not record.availability.had_unreadable_signal:
             record.availability.had_unreadable_signal = True
-            self._log.log_unreadable(record, signals.unread)
+            self._log.log_unreadable(record, signals.unreadable)
         if signals.backoff_s > 0.0 and record.availability.note_backoff(
             signals.backoff_s, now_s, record.in_flight
         ):
             self._log.log_backoff(record, status, signals.backoff_s)
             self._context.on_backoff(record)
-        self._take_limit(record, sent_s, signals)
+        self._process_limit(record, sent_at_s, signals)
         if status not in REJECTION_STATUSES:
-            record.availability.note_accepted(sent_s)
+            record.availability.note_accepted(sent_at_s)
         if signals.is_draining and record.note_draining(now_s):
             self._log.log_draining(record, status)
             self._context.on_draining(record)
 
-    def _take_limit(self, record: ReplicaRecord, sent_s: float, signals: ReplicaSignals) -> None:
-        """Take in the limit that the head of an answer names, or that it names none."""
+    def _process_limit(
+        self, record: ReplicaRecord, sent_at_s: float, signals: ReplicaSignals
+    ) -> None:
+        """Apply the rate limit of a response head, or its absence."""
         availability = record.availability
         if signals.limit_per_s is not None:
             if not availability.note_limit(signals.limit_per_s, self._loop.time()):
                 return
             self._log.log_limited(record, signals.limit_per_s)
-        elif signals.names_limit or not availability.limit.note_not_advertised(sent_s):
+        elif signals.has_limit_header or not availability.limit.note_not_advertised(sent_at_s):
             return
         else:
             self._log.log_unlimited(record)
         self._context.on_limit_changed(record)
 
-    def notice_silence(self, record: ReplicaRecord, attempt: Attempt) -> None:
-        """A replica that said nothing for long may be gone without a word."""
+    def check_silence(self, record: ReplicaRecord, attempt: Attempt) -> None:
+        """Mark a replica as unreachable that has sent nothing for long: it may have crashed."""
         if attempt.has_response or attempt.connection is None:
             return
-        if self._loop.time() - attempt.started_at_s < SILENCE_S:
+        if self._loop.time() - attempt.started_at_s < SILENT_REPLICA_S:
             return
         record.note_failure(self._loop.time())
         self._context.on_unreachable(record)
-        self._log.log_attempt_failed(record, "silent", "no answer")
+        self._log.log_attempt_failed(record, "silent", "no response")
 
-    def note_pressure(self, route: Route, attempt: Attempt, sent_s: float) -> None:
-        """Tell placement of a first event that took most of its target."""
+    def note_overload(self, route: Route, attempt: Attempt, sent_at_s: float) -> None:
+        """Report an overloaded model if a first event took most of its target."""
         if not self._request.model or attempt.first_data_at_s is None:
             return
-        taken_ms = (attempt.first_data_at_s - sent_s) * 1000.0
-        if taken_ms > route.target_latency_ms * PRESSED_SHARE:
-            self._context.demand.note_pressed(self._log.service, self._request.model)
+        taken_ms = (attempt.first_data_at_s - sent_at_s) * 1000.0
+        if taken_ms > route.target_latency_ms * OVERLOADED_TARGET_SHARE:
+            self._context.demand.note_overloaded(self._log.service, self._request.model)
 
-    def learn(self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_s: float) -> None:
-        """Take in what an attempt says about its replica."""
+    def note_attempt_end(
+        self, choice: Choice, attempt: Attempt, end: AttemptEnd, sent_at_s: float
+    ) -> None:
+        """Update the state of the replica from an attempt that has ended."""
         record, request = choice.record, self._request
         now_s = self._loop.time()
         GATEWAY_ATTEMPTS.labels(end.result).inc()
@@ -99,7 +105,8 @@
             if end.status == 421 and request.model:
                 record.availability.note_missing(request.resource)
             elif end.status in REJECTION_STATUSES and not attempt.signals.backoff_s:
-                # It answers at once and has nothing in flight, so that it looks the quickest.
+                # It responds at once and has nothing in flight, so it would look like the fastest
+                # one.
                 record.note_error_response()
             return
         self._progress.runs += 1
@@ -107,14 +114,14 @@
             record.note_failure(now_s)
             self._log.log_attempt_failed(record, end.result, end.detail)
             return
-        if end.status >= FAILED_STATUS:
+        if end.status >= MIN_SERVER_ERROR_STATUS:
             record.note_error_response()
             return
         record.note_success()
         for key in part_keys(request):
             record.remember_part(key)
-        first_s = now_s if attempt.first_data_at_s is None else attempt.first_data_at_s
-        taken_s = first_s - sent_s
+        first_data_at_s = now_s if attempt.first_data_at_s is None else attempt.first_data_at_s
+        taken_s = first_data_at_s - sent_at_s
         if request.model:
             unread = max(0, request.prompt_tokens - choice.known_tokens)
             latency_model = self._context.registry.latency_model(self._log.service)
@@ -123,7 +130,7 @@
             )
             latency_model.observe_first_event(request.model, unread, taken_s * 1000.0)
             latency_model.observe_stream(
-                request.model, request.output_tokens, (now_s - first_s) * 1000.0
+                request.model, request.output_tokens, (now_s - first_data_at_s) * 1000.0
             )
             return
         expected_s = choice.expected_ms / 1000.0 / max(0.2, record.slowness_now(now_s))
--- a/src/crowsill/gateway/replica_signals.py
+++ b/src/crowsill/gateway/replica_signals.py
@@ -1,8 +1,8 @@
-"""What a replica says of itself in the head of an answer, whatever it answers. Pure.
+"""Parses what a replica reports about itself in a response head, whatever the status. Pure.
 
-Its load, that it wants nothing more for a while (`Retry-After`, RFC 9110, section 10.2.3), the rate
-that it takes from all gateways together, and that it leaves. What cannot be read says nothing, and
-is named for the log.
+These are its load, a backoff (`Retry-After`, RFC 9110, section 10.2.3), the rate limit that it
+enforces for all gateways together, and that it drains. A value that cannot be parsed has no effect
+and is passed to the log.
 """
 
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 from crowsill.routing.retry_after import REJECTION_STATUSES, parse_longest_delay_s
 
 RETRY_AFTER = b"retry-after"
-LONGEST_UNREAD = 80
-_LEAVES = b"1"
+MAX_UNREADABLE_CHARS = 80
+_DRAINING_VALUE = b"1"
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLoad:
-    """Load that a replica told.
+    """Load reported by a replica.
 
     Attributes:
         running: Requests that it runs.
@@ -31,36 +31,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSignals:
-    """What one answer says of its replica.
+    """What one response head reports about its replica.
 
     Attributes:
-        load: Its load, if it told any.
-        backoff_s: How long from now it wants nothing from this process; 0 if it does not say.
-        is_draining: Whether it leaves: it is to get nothing new in this life.
-        limit_per_s: Requests a second that it takes from all gateways; None if it names none that
-            can be read. Of several, the least.
-        names_limit: Whether it names any, one that cannot be read included.
-        unread: What it said that cannot be read, for the log; empty without.
+        load: Its load; None if not reported.
+        backoff_s: Time from now for which it accepts nothing from this process; 0 if not reported.
+        is_draining: Whether it drains: this incarnation gets no new requests.
+        limit_per_s: Advertised rate limit for all gateways, in requests a second; the lowest of
+            several. None if no readable one is advertised.
+        has_limit_header: Whether it advertises any rate limit, readable or not.
+        unreadable: Values that cannot be parsed, for the log; empty if there are none.
     """
 
     load: ReplicaLoad | None = None
     backoff_s: float = 0.0
     is_draining: bool = False
     limit_per_s: float | None = None
-    names_limit: bool = False
-    unread: str = ""
+    has_limit_header: bool = False
+    unreadable: str = ""
 
 
 def read_signals(
     status: int, headers: Headers, names: HeaderNames, wall_s: float
 ) -> ReplicaSignals:
-    """Read what an answer says of its replica.
+    """Parse what a response head reports about its replica.
 
     Args:
-        status: Status of the answer.
+        status: Status of the response.
         headers: Its headers.
         names: Header names.
-        wall_s: Unix time, for dates.
+        wall_s: Current Unix time, to resolve dates.
 
     >>> names = HeaderNames()
     >>> read_signals(503, [(b"Retry-After", b"2.5")], names, 0.0).backoff_s
@@ -72,37 +72,41 @@
     >>> read_signals(200, [(b"Crowsill-Server-Limit", b"1.5")], names, 0.0).limit_per_s
     1.5
     """
-    unread: list[str] = []
+    unreadable: list[str] = []
     backoff_s = 0.0
     if status in REJECTION_STATUSES:
         values = [value.decode("latin-1") for value in all_values(headers, RETRY_AFTER)]
         backoff_s, wrong = parse_longest_delay_s(values, wall_s)
-        unread.extend(f"Retry-After: {value}" for value in wrong)
-    told = [value.strip() for name in names.leaving for value in all_values(headers, name)]
-    unread.extend(f"leaving: {value.decode('latin-1')}" for value in told if value != _LEAVES)
-    named = [value for name in names.limit for value in all_values(headers, name)]
-    limits = {value: read_limit_per_s(value) for value in named}
-    unread.extend(f"limit: {value.decode('latin-1')}" for value in named if limits[value] is None)
+        unreadable.extend(f"Retry-After: {value}" for value in wrong)
+    drain_values = [value.strip() for name in names.leaving for value in all_values(headers, name)]
+    unreadable.extend(
+        f"leaving: {value.decode('latin-1')}" for value in drain_values if value != _DRAINING_VALUE
+    )
+    limit_values = [value for name in names.limit for value in all_values(headers, name)]
+    limits = {value: read_limit_per_s(value) for value in limit_values}
+    unreadable.extend(
+        f"limit: {value.decode('latin-1')}" for value in limit_values if limits[value] is None
+    )
     return ReplicaSignals(
         load=read_load(find_header(headers, names.load)),
         backoff_s=backoff_s,
-        is_draining=_LEAVES in told,
+        is_draining=_DRAINING_VALUE in drain_values,
         limit_per_s=min((per_s for per_s in limits.values() if per_s is not None), default=None),
-        names_limit=bool(named),
-        unread=", ".join(unread)[:LONGEST_UNREAD],
+        has_limit_header=bool(limit_values),
+        unreadable=", ".join(unreadable)[:MAX_UNREADABLE_CHARS],
     )
 
 
-def read_load(told: bytes | None) -> ReplicaLoad | None:
-    """Read a load of the form `running,waiting,slots`; None when there is none.
+def read_load(header: bytes | None) -> ReplicaLoad | None:
+    """Parse a load of the form `running,waiting,slots`; return None if it is absent or invalid.
 
     >>> read_load(b"3,1,8"), read_load(b"3"), read_load(None)
     (ReplicaLoad(running=3.0, waiting=1.0), None, None)
     """
-    words = [] if told is None else told.split(b",")
-    if len(words) < 2:
+    fields = [] if header is None else header.split(b",")
+    if len(fields) < 2:
         return None
-    running, waiting = read_number(words[0]), read_number(words[1])
+    running, waiting = read_number(fields[0]), read_number(fields[1])
     if running is None or waiting is None:
         return None
     return ReplicaLoad(running, waiting)
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -130,7 +130,7 @@
         self._tasks = [
             asyncio.create_task(self._follower.run()),
             asyncio.create_task(self.pool.sweep()),
-            asyncio.create_task(self.demand.ask_on()),
+            asyncio.create_task(self.demand.repeat_reports()),
         ]
 
     def port(self) -> int:
@@ -206,7 +206,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # Context of exchanges.
+    # `ExchangeContext`.
 
     @property
     def revocation_s(self) -> float:
@@ -220,7 +220,7 @@
     @property
     def gateways(self) -> int:
         """Number of gateways that share the retry budgets."""
-        return self._gateway_count.most()
+        return self._gateway_count.maximum()
 
     def budget(self, service: str) -> SharedBudget:
         """Return the retry budget of a service."""
@@ -235,16 +235,16 @@
 
     def on_unreachable(self, record: ReplicaRecord) -> None:
         """Exclude a replica until a connection to it can be opened, and report it to the group."""
-        self._watch.unreachable(record)
+        self._watch.watch_unreachable(record)
 
     def on_backoff(self, record: ReplicaRecord) -> None:
         """Check a replica again after its backoff."""
-        self._watch.rests(record)
+        self._watch.watch_backoff(record)
 
     def on_draining(self, record: ReplicaRecord) -> None:
         """Treat a replica that reported that it drains as draining, and report it to the group."""
         self._on_directory([record.instance.instance_id])
-        self._watch.leaves(record)
+        self._watch.report_draining(record)
 
     def on_limit_changed(self, record: ReplicaRecord) -> None:
         """Report a replica's rate limit to the group at once; heartbeats report it again."""
--- a/src/crowsill/gateway/sender.py
+++ b/src/crowsill/gateway/sender.py
@@ -94,7 +94,7 @@
                 record.instance, deadline_at_s - self._loop.time()
             )
             attempt = self._new_attempt(route, record, connection, closes_connection)
-            attempt.on_first_data = prompt.read
+            attempt.on_first_data = prompt.stop_counting
             attempt.on_signals = functools.partial(self._handle_signals, record, probe, attempt)
             # Checked again after the last wait: opening the connection may have taken a second.
             if (
@@ -109,9 +109,9 @@
             sent_at_s = self._write_request(route, record, attempt, connection, deadline_at_s)
             end = await attempt.ended
             reusable = end.result in (AttemptResult.COMPLETE, AttemptResult.NOT_RUN)
-            self._feedback.learn(choice, attempt, end, sent_at_s)
+            self._feedback.note_attempt_end(choice, attempt, end, sent_at_s)
             self._repeat_guard.note_attempt_end(record.instance, end, sent_at_s)
-            self._feedback.note_pressure(route, attempt, sent_at_s)
+            self._feedback.note_overload(route, attempt, sent_at_s)
             return end
         except ConnectError as error:
             record.note_failure(self._loop.time())
@@ -119,12 +119,12 @@
                 context.crash_watch.note_refused_connection(record.instance)
             context.on_unreachable(record)
             GATEWAY_ATTEMPTS.labels("unreachable").inc()
-            self._progress.last = f"connect: {error}"
+            self._progress.last_failure = f"connect: {error}"
             self._log.log_attempt_failed(record, "unreachable", str(error))
             return None
         finally:
             record.in_flight -= 1
-            prompt.read()
+            prompt.stop_counting()
             probe.end()
             self._end_attempt(record)
             if connection is not None:
@@ -207,7 +207,7 @@
     ) -> None:
         """Handle the signals in the head of a response."""
         probe.end()
-        self._feedback.take_signals(record, attempt.sent_at_s, status, signals)
+        self._feedback.process_signals(record, attempt.sent_at_s, status, signals)
         if signals.backoff_s > 0.0:
             # The replica rejected the request; it may get it again after its backoff.
             self._progress.tried.discard(record.instance.instance_id)
@@ -217,7 +217,7 @@
         attempt = self._progress.attempt
         if attempt is None:
             return
-        self._feedback.notice_silence(record, attempt)
+        self._feedback.check_silence(record, attempt)
         if attempt.connection is not None and attempt.was_abandoned:
             self._repeat_guard.note_abandoned(record.instance, attempt.sent_at_s)
         attempt.connection = None
@@ -226,4 +226,4 @@
         admission = self._admission
         tenant = "" if admission.tenant is None else admission.tenant.name
         rank = admission.rank(route)
-        return ForwardingTerms(replica, rank, remaining_s, admission.is_keyed, tenant)
+        return ForwardingTerms(replica, rank, remaining_s, admission.requires_key, tenant)
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -190,12 +190,12 @@
 def test_what_was_sent_before_a_rest_opens_nothing_after_it():
     availability = Availability()
     availability.note_backoff(1.0, now_s=10.0)
-    availability.note_accepted(sent_s=9.9)
+    availability.note_accepted(sent_at_s=9.9)
     assert availability.max_probes == 1
     taken = 0
     while availability.max_probes is not None:
         assert availability.max_probes <= MAX_PROBES
-        availability.note_accepted(sent_s=11.0)
+        availability.note_accepted(sent_at_s=11.0)
         taken += 1
     assert taken == 5
 
@@ -222,9 +222,9 @@
         former = registry.find("a@1")
         former.availability.note_backoff(1.0, now_s=0.0)
         registry.adopt(DirectoryChange(2, [], ["a@1"]), False, 0.0)
-        watch.unreachable(former)
+        watch.watch_unreachable(former)
         registry.adopt(DirectoryChange(3, [listed], []), False, 0.0)
-        watch.unreachable(former)
+        watch.watch_unreachable(former)
         found = registry.find("a@1").availability
         assert found.exclusion(0.5) == Exclusion(ExclusionReason.BACKING_OFF, 1.0)
         assert found.exclusion(1.5) is None and found.available_at_s == 1.0
