--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, scripted replicas on plain sockets, and raw callers."""
+"""A gateway in the test process, scripted replicas on plain sockets, and raw callers."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
 
 
 def encode_response(request_id, body=b"fine", status="200 OK", extra="", length=True):
-    """Return a sound answer of a replica."""
+    """Encode a valid response of a replica."""
     lines = [f"HTTP/1.1 {status}", f"{ID}: {request_id}", f"{STAMP}: s1"]
     if length:
         lines.append(f"Content-Length: {len(body)}")
@@ -43,10 +43,10 @@
 
 
 class Replica:
-    """A replica that plays a script: one function for each request it reads.
+    """A replica that runs a script for each request that it reads.
 
-    A script gets the request's head and the writer, writes what it likes, and returns True when
-    the connection stays open.
+    A script gets the request's headers, the writer and the number of the request; it writes any
+    bytes and returns True if the connection stays open.
     """
 
     def __init__(self, script):
@@ -88,7 +88,7 @@
 
 
 def routes(version=1, **limits):
-    """One route of each kind at host `h.example`."""
+    """Return one route of each kind at host `h.example`."""
 
     def route(name, kind, service="plain", **more):
         timeout_ms = more.pop("timeout_ms", 3000)
@@ -144,7 +144,7 @@
         return self
 
     def adopt(self, instances):
-        """Let the gateway learn of exactly these instances."""
+        """Apply a directory snapshot with exactly these instances."""
         engines = [
             msgspec.structs.replace(item, instance_id=f"{item.instance_id}e", service="engines")
             for item in instances
@@ -154,7 +154,7 @@
         self.role._on_directory(self.role.registry.adopt(change, True, time.monotonic()))
 
     def drain(self, number):
-        """Let the gateway learn that a replica is draining."""
+        """Apply a directory update that lists a replica as draining."""
         record = self.role.registry.find(f"i-{number}")
         found = record.instance
         state = InstanceState.DRAINING
@@ -173,13 +173,13 @@
 
 
 def world(*scripts, configuration=None, models=("m",)):
-    """Return a world with one replica for each script."""
+    """Return a gateway with one replica for each script."""
     replicas = [Replica(script) for script in scripts]
     return World(replicas, configuration or routes(), models)
 
 
 class Caller:
-    """A caller that speaks bytes."""
+    """A caller that writes raw HTTP."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -198,7 +198,7 @@
         return status, {name.lower(): value for name, value in pairs}
 
     async def request(self, route, request_id="r1", body=b"", headers=(), within_s=5.0):
-        """Send a request and return status, headers and body of the answer."""
+        """Send a request and return status, headers and body of the response."""
         self.send(route, request_id, body, headers=headers)
         status, found = await self.head(within_s)
         return status, found, await self.body(found, within_s)
@@ -220,7 +220,7 @@
             self.writer.transport.abort()
 
 
-# A caller that comes back has less time left than the route gives.
+# A caller that retries has less time left than the route gives.
 RETRY_DEADLINE_HEADER = "crowsill-deadline-ms: 2500"
 
 
--- a/tests/test_busy_engines.py
+++ b/tests/test_busy_engines.py
@@ -1,9 +1,8 @@
 """No order is sent while an engine is known to carry out another one.
 
-An unload of an adapter that requests still used was accepted, and the load after it refused 20
-times in 5 s: "E506 order_answered kind=load expected=40 answer=not_now" came every 0.25 s, though
-each report that was read in between said that an order was in progress. 36 of 458 orders of a day
-on which replicas started again were refused so.
+Guards against a load order that follows the unload of an adapter in use: the engine accepted the
+unload, then rejected the load with `not_now` every 0.25 s, although its reports showed an order in
+progress. Engines rejected 8 in 100 orders like this while replicas restarted.
 """
 
 import asyncio
@@ -21,19 +20,19 @@
 EXCHANGE = Job("i-1", ("m/a1",), "m", "a2", False, 0.02, JobReason.ADAPTER)
 
 
-class EngineInUse:
-    """An engine with one adapter in use, whose unload takes some reports to end.
+class BusyEngine:
+    """An engine with one adapter in use, whose unload takes some reports to finish.
 
     Attributes:
-        answers: What it answered to each order.
+        answers: Its answers to orders.
         held: Adapters that it holds.
-        reports: Reports until its order is carried out.
+        busy_reports: Remaining reports until its order is carried out.
     """
 
     def __init__(self, busy_reports=0):
         self.answers = []
         self.held = {"a1"}
-        self.reports = busy_reports
+        self.busy_reports = busy_reports
         self.sequence = 0
 
     async def order(self, instance, order):
@@ -41,26 +40,26 @@
         return self.answers[-1]
 
     def _answer(self, order):
-        if self.reports > 0 or order.expected_sequence != self.sequence:
+        if self.busy_reports > 0 or order.expected_sequence != self.sequence:
             return OrderAnswer.NOT_NOW
         if (order.adapter in self.held) is (order.kind is OrderKind.LOAD):
             return OrderAnswer.ALREADY_SO
         self.sequence += 1
         if order.kind is OrderKind.UNLOAD:
-            self.reports = 4
+            self.busy_reports = 4
             self.held.discard(order.adapter)
         else:
             self.held.add(order.adapter)
         return OrderAnswer.ACCEPTED
 
     async def report(self, instance):
-        self.reports = max(0, self.reports - 1)
+        self.busy_reports = max(0, self.busy_reports - 1)
         held = [LoadedModel("m", 1, sorted(self.held))]
-        return EngineReport(held, [], self.reports > 0, self.sequence)
+        return EngineReport(held, [], self.busy_reports > 0, self.sequence)
 
 
 def exchange(engines):
-    """Have one adapter exchanged for another; return what the engine answered."""
+    """Exchange one adapter for another; return the engine's answers."""
 
     async def submit(command):
         machine.apply(command)
@@ -80,9 +79,9 @@
     return engines.answers
 
 
-def test_a_load_waits_for_the_unload_before_it():
-    assert OrderAnswer.NOT_NOW not in exchange(EngineInUse())
+def test_a_load_waits_for_the_previous_unload():
+    assert OrderAnswer.NOT_NOW not in exchange(BusyEngine())
 
 
-def test_what_was_refused_waits_until_the_other_order_is_done():
-    assert exchange(EngineInUse(busy_reports=6)).count(OrderAnswer.NOT_NOW) == 1
+def test_a_rejected_order_waits_until_the_other_one_is_done():
+    assert exchange(BusyEngine(busy_reports=6)).count(OrderAnswer.NOT_NOW) == 1
--- a/tests/test_engine_signals.py
+++ b/tests/test_engine_signals.py
@@ -1,8 +1,8 @@
-"""Engines ask members for rest, too, and say to them that they leave.
+"""Engines also ask control members for backoffs and report to them that they drain.
 
-An order that was answered 503 passed for one without an answer and was sent again every 0.1 s, 20
-times, into whatever rest the engine had asked for; and an engine that said in its answers to orders
-that it leaves was given further loads until a gateway or its heartbeat said so.
+Guards against two faults: an order answered with 503 counted as unanswered and was sent again every
+0.1 s during the backoff; and an engine that reported in its answers that it drains got further
+loads until a gateway or its heartbeat reported it.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 ORDER = EngineOrder(OrderKind.LOAD, "m", "", 0, "core-1", 1)
 
 
-def plain(status, *extra):
+def script_for(status, *extra):
     """Return a script of an engine that answers all calls alike."""
 
     async def script(_headers, writer, _number):
@@ -36,9 +36,9 @@
     return engine, Instance("a@1", "s", f"127.0.0.1:{engine.port}", "z", 4, replica="a")
 
 
-def test_nothing_is_asked_of_an_engine_that_rests():
+def test_nothing_is_sent_to_an_engine_that_backs_off():
     async def scenario():
-        engine, instance = await _engine(plain("503 Busy", "Retry-After: 0.5"))
+        engine, instance = await _engine(script_for("503 Busy", "Retry-After: 0.5"))
         calls = PlatformEngineCalls()
         assert await calls.order(instance, ORDER) is OrderAnswer.RESTS
         for _ in range(5):
@@ -53,9 +53,9 @@
     run(scenario())
 
 
-def test_a_rest_is_that_of_one_life():
+def test_a_backoff_applies_to_one_incarnation():
     async def scenario():
-        engine, instance = await _engine(plain("503 Busy", "Retry-After: 5"))
+        engine, instance = await _engine(script_for("503 Busy", "Retry-After: 5"))
         calls = PlatformEngineCalls()
         await calls.report(instance)
         later = Instance("a@2", "s", instance.address, "z", 4, replica="a", started_ms=2)
@@ -66,23 +66,23 @@
     run(scenario())
 
 
-def test_answers_to_orders_and_reports_tell_that_an_engine_leaves():
+def test_responses_to_orders_and_reports_show_that_an_engine_drains():
     async def scenario():
-        engine, instance = await _engine(plain("202 Accepted", "Server-Leaving: 1"))
-        heard = []
+        engine, instance = await _engine(script_for("202 Accepted", "Server-Leaving: 1"))
+        reported = []
         calls = PlatformEngineCalls()
-        calls.on_draining = heard.extend
+        calls.on_draining = reported.extend
         assert await calls.order(instance, ORDER) is OrderAnswer.ACCEPTED
         await calls.report(instance)
-        assert heard == ["a@1", "a@1"]
+        assert reported == ["a@1", "a@1"]
         await engine.stop()
 
     run(scenario())
 
 
-def test_an_order_refused_without_a_rest_is_without_an_answer_as_before():
+def test_an_order_rejected_without_a_backoff_has_no_answer():
     async def scenario():
-        engine, instance = await _engine(plain("503 Busy"))
+        engine, instance = await _engine(script_for("503 Busy"))
         calls = PlatformEngineCalls()
         assert await calls.order(instance, ORDER) is OrderAnswer.UNKNOWN
         assert await calls.order(instance, ORDER) is OrderAnswer.UNKNOWN
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that no replica takes now: properties of the decision."""
+"""Properties of the decision whether a request waits for a replica or is rejected."""
 
 import itertools
 import math
@@ -23,7 +23,7 @@
 
 SECONDS = st.floats(0.0, 30.0)
 SHARES = st.floats(0.0, 1.0)
-PROSPECTS = st.builds(WaitEstimate, SECONDS, SHARES, SECONDS)
+ESTIMATES = st.builds(WaitEstimate, SECONDS, SHARES, SECONDS)
 
 
 def budget(
@@ -32,52 +32,58 @@
     return WaitBudget(elapsed_before_s, waited_s, total_s, target_s, abandons_after_s)
 
 
-@given(PROSPECTS, SECONDS, SECONDS, SECONDS, SECONDS)
-def test_who_waits_now_would_have_waited_earlier(estimate, waited_s, longer_s, total_s, target_s):
+@given(ESTIMATES, SECONDS, SECONDS, SECONDS, SECONDS)
+def test_a_request_that_waits_now_would_have_waited_earlier(
+    estimate, waited_s, longer_s, total_s, target_s
+):
     later = budget(waited_s + longer_s, total_s + 0.1, min(target_s, total_s))
     earlier = budget(waited_s, total_s + 0.1, min(target_s, total_s))
     assert should_wait(estimate, earlier, 0.1) or not should_wait(estimate, later, 0.1)
 
 
-@given(PROSPECTS, SECONDS, SECONDS, st.floats(0.1, 30.0), SECONDS)
-def test_who_has_more_time_waits_at_least_as_readily(estimate, waited_s, more_s, total_s, target_s):
+@given(ESTIMATES, SECONDS, SECONDS, st.floats(0.1, 30.0), SECONDS)
+def test_more_time_never_makes_a_request_wait_less(estimate, waited_s, more_s, total_s, target_s):
     target_s = min(target_s, total_s)
     little = budget(waited_s, total_s, target_s)
     much = budget(waited_s, total_s + more_s, target_s)
     assert should_wait(estimate, much, 0.1) or not should_wait(estimate, little, 0.1)
 
 
-@given(PROSPECTS, SECONDS, SECONDS, SHARES)
-def test_a_likelier_or_sooner_end_is_waited_for_at_least_as_readily(
-    estimate, waited_s, sooner_s, x
+@given(ESTIMATES, SECONDS, SECONDS, SHARES)
+def test_a_more_probable_or_earlier_end_never_makes_a_request_wait_less(
+    estimate, waited_s, sooner_s, other_probability
 ):
     sooner = WaitEstimate(
         max(0.0, estimate.ready_s - sooner_s), estimate.probability, estimate.known_after_s
     )
-    likelier = WaitEstimate(estimate.ready_s, max(estimate.probability, x), estimate.known_after_s)
+    likelier = WaitEstimate(
+        estimate.ready_s, max(estimate.probability, other_probability), estimate.known_after_s
+    )
     for better in (sooner, likelier):
         if should_wait(estimate, budget(waited_s), 0.1):
             assert should_wait(better, budget(waited_s), 0.1)
 
 
-@given(PROSPECTS, SECONDS, SECONDS)
-def test_what_cannot_be_served_is_refused_at_once(estimate, waited_s, response_s):
+@given(ESTIMATES, SECONDS, SECONDS)
+def test_a_request_that_cannot_be_served_in_time_is_rejected_at_once(
+    estimate, waited_s, response_s
+):
     caller = budget(waited_s, abandons_after_s=3.2)
     if waited_s + estimate.ready_s + response_s >= 3.2:
         assert not should_wait(estimate, caller, response_s)
 
 
-@given(PROSPECTS, SECONDS, st.floats(0.01, 0.9))
-def test_one_that_has_come_back_is_not_refused_more_readily(estimate, waited_s, away):
-    # The same answer at the same time after the first try, of which it was away for a part.
+@given(ESTIMATES, SECONDS, st.floats(0.01, 0.9))
+def test_a_retried_request_is_not_rejected_sooner(estimate, waited_s, elsewhere_share):
+    # The same response time since the first try, of which the caller spent a part elsewhere.
     first = budget(waited_s)
-    returned = budget(waited_s, elapsed_before_s=min(waited_s, 4.0) * away)
+    returned = budget(waited_s, elapsed_before_s=min(waited_s, 4.0) * elsewhere_share)
     if first.waited_s < first.total_s:
         assert should_wait(estimate, returned, 0.1) or not should_wait(estimate, first, 0.1)
 
 
-@given(PROSPECTS, SHARES, SHARES, st.integers(0, 8))
-def test_urgent_callers_come_back_before_those_that_can_wait(estimate, spread, other, rank):
+@given(ESTIMATES, SHARES, SHARES, st.integers(0, 8))
+def test_urgent_callers_retry_before_those_that_can_wait(estimate, spread, other, rank):
     caller = budget()
     urgent_s = retry_delay_s(estimate, caller, rank, spread * 0.999)
     patient_s = retry_delay_s(estimate, caller, rank + 1, other)
@@ -86,8 +92,8 @@
     assert patient_s <= estimate.ready_s + RETRY_RANK_INTERVAL_S * (rank + 2)
 
 
-def test_a_wait_has_no_steps():
-    """The longest wait moves little when what is left moves little."""
+def test_the_longest_wait_changes_continuously_with_the_time_left():
+    """The longest wait changes little when the time left changes little."""
 
     def longest_s(total_s):
         waited_s = 0.0
@@ -100,7 +106,7 @@
     assert found[-1] > found[0]
 
 
-def test_a_first_try_is_told_by_the_time_that_it_has():
+def test_a_first_try_is_recognized_by_its_remaining_time():
     route = Route("r", "h", "/", RouteKind.AT_MOST_ONCE, 2000, [], target_latency_ms=300)
     assert not wait_budget(route, None, 0.0).is_retry
     assert not wait_budget(route, 4000, 0.0).is_retry
@@ -116,32 +122,32 @@
     return CallerRequest(b"POST", b"/", [], b"", True, 0.0, model=model)
 
 
-def estimate(records, why=NoReplicaReason.NO_MODEL, waited_s=0.0, now_s=0.0):
+def estimate(records, reason=NoReplicaReason.NO_MODEL, waited_s=0.0, now_s=0.0):
     weights = ModelWeights("m", 100.0, 9.0, 0.8, 2.0)
-    asked = request_for("m")
+    needed = request_for("m")
     return estimate_wait(
-        why, asked, records=records, weights=weights, waited_s=waited_s, now_s=now_s
+        reason, needed, records=records, weights=weights, waited_s=waited_s, now_s=now_s
     )
 
 
-def test_a_load_under_way_is_known_by_when_it_began():
+def test_a_load_in_progress_is_estimated_from_its_start():
     record = engine(loading=[LoadingModel("m", 2.0)])
     record.note_loading_models(10.0)
     assert estimate([record], now_s=10.5) == WaitEstimate(1.5, LOADING_PROBABILITY, 1.5)
-    # Later words on the same engine repeat it, and what is overdue may take as long again.
+    # Later reports repeat the load; an overdue load may take its delay again.
     record.note_loading_models(11.0)
     assert estimate([record], now_s=12.8).ready_s == 12.8 - 12.0
 
 
-def test_a_load_that_is_only_asked_for_takes_as_long_as_from_the_nearest_copy():
+def test_a_requested_load_takes_the_time_from_the_closest_copy():
     far, near = estimate([engine()]), estimate([engine(on_disk=["m"])])
     assert (round(far.ready_s, 1), round(near.ready_s, 1)) == (9.2, 2.2)
     assert estimate([engine()], waited_s=1.0).probability < far.probability < LOADING_PROBABILITY
 
 
-def test_a_model_that_the_routes_do_not_know_never_comes():
-    asked = request_for("nobody")
+def test_a_model_unknown_to_the_routes_is_not_waited_for():
+    needed = request_for("nobody")
     found = estimate_wait(
-        NoReplicaReason.NO_MODEL, asked, records=[engine()], weights=None, waited_s=0.0, now_s=0.0
+        NoReplicaReason.NO_MODEL, needed, records=[engine()], weights=None, waited_s=0.0, now_s=0.0
     )
     assert not should_wait(found, budget(), 0.1)
