--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -274,16 +274,16 @@
         if role is not Role.LEADER or self._service is None:
             return
         driver = self._driver()
-        changes = MemberChanges(driver, self._local, self._control.target_voters)
+        member_changes = MemberChanges(driver, self._local, self._control.target_voters)
         self._leader_tasks = [
-            asyncio.create_task(changes.reconcile()),
+            asyncio.create_task(member_changes.reconcile()),
             asyncio.create_task(self._quota.record_periodically(driver)),
             asyncio.create_task(
                 expire_suspects(self._machine.crashes, driver.submit, self._control.quarantine_s)
             ),
         ]
         if self._control.seeds:
-            self._announce_group(self._service, changes, driver)
+            self._announce_group(self._service, member_changes, driver)
         member = LeadingMember(
             self._settings.node, self._control, self._service, driver, self._current_routes
         )
@@ -293,12 +293,12 @@
             self._start_polled_placement(member, self._backends)
 
     def _announce_group(
-        self, service: MemberService, changes: MemberChanges, driver: ConsensusDriver
+        self, service: MemberService, member_changes: MemberChanges, driver: ConsensusDriver
     ) -> None:
         """Start to announce the group's addresses to processes that may not know any member."""
         ports = AnnouncerPorts(
             members=lambda: member_addresses(driver),
-            silent_members=changes.silent_addresses,
+            silent_members=member_changes.silent_addresses,
             seeds=lambda: self._contacts.seeds,
             recorded=self._machine.control_addresses,
             submit=driver.submit,
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -164,7 +164,7 @@
     ) -> JoinReply | GroupReferral:
         """Handle, as the leader, a request of a process that looks for the group."""
         if isinstance(request, JoinRequest):
-            return self._changes(driver).join(request)
+            return self._member_changes(driver).join(request)
         if self.announcer is not None:
             self.announcer.note_request(request.address)
         return GroupReferral([format_address(address) for address in member_addresses(driver)])
@@ -189,9 +189,9 @@
             return await driver.submit(request.command)
         if not driver.is_leader:
             return NotLeader(driver.leader_address())
-        return await self._changes(driver).handle(request)
+        return await self._member_changes(driver).handle(request)
 
-    def _changes(self, driver: ConsensusDriver) -> MemberChanges:
+    def _member_changes(self, driver: ConsensusDriver) -> MemberChanges:
         return MemberChanges(driver, self._local, self._target_voters)
 
     async def _wait_until_full(self, driver: ConsensusDriver) -> None:
@@ -202,7 +202,7 @@
         """
         deadline_at_s = monotonic_s() + MAX_FULL_GROUP_WAIT_S
         while not self._has_reached_full_size and driver.is_leader:
-            if self._changes(driver).is_full() or monotonic_s() > deadline_at_s:
+            if self._member_changes(driver).is_full() or monotonic_s() > deadline_at_s:
                 self._has_reached_full_size = True
                 return
             await asyncio.sleep(FULL_GROUP_POLL_INTERVAL_S)
