--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -31,8 +31,9 @@
     for _ in range(5 * REQUESTS_A_S * 2):
         tokens = random.randrange(200, 3000)
         waited_ms = random.choice([0.0, 0.0, random.uniform(0, 200)])
-        first_ms = latency_model.base_ms + tokens * token_ms + waited_ms
-        latency_model.observe_first_event("m", tokens, first_ms)
+        latency_model.observe_first_event(
+            "m", tokens, latency_model.base_ms + tokens * token_ms + waited_ms
+        )
     assert token_ms / 1.6 < latency_model.token_ms["m"] < token_ms * 1.6
 
 
