--- a/src/crowsill/gateway/availability.py
+++ b/src/crowsill/gateway/availability.py
@@ -246,7 +246,7 @@
         """Record an advertised rate limit; return whether it is new or has changed."""
         if not self.limit.is_advertised:
             self.sent_under_limit = 0
-        return self.limit.note(per_s, now_s)
+        return self.limit.note_advertised(per_s, now_s)
 
     def close_for_limit(self, ends_at_s: float, is_urgent: bool = True) -> None:
         """Grant no request before a time, or none that can wait."""
--- a/src/crowsill/placement/copy_planner.py
+++ b/src/crowsill/placement/copy_planner.py
@@ -35,7 +35,7 @@
 # Lower bound of the number of engines that count as free when all of them run long loads.
 MIN_FREE_ENGINES = 0.25
 # An unload waits for running requests; most requests end within this time, in seconds.
-MAX_REQUEST_DURATION_S = 2.0
+REQUEST_DURATION_S = 2.0
 # Time that an order takes in addition to the load itself, in seconds.
 ORDER_OVERHEAD_S = 0.3
 # Share of the engines that may run loads of low gain from the weight store at once: an engine that
@@ -46,8 +46,8 @@
 # Models are prefetched only for this time after placement started, in seconds: a later load would
 # block its engine when the first requests arrive.
 PREFETCH_WINDOW_S = 5.0
-# Number of engines without a cached copy that are result for a model; the least loaded ones count.
-# On a large site, rating all engines would take longer than the heartbeat timeout of a leader.
+# Number of engines without a cached copy that are evaluated for a model, the least loaded first.
+# On a large site, evaluating all engines would take longer than the heartbeat timeout of a leader.
 MAX_UNCACHED_ENGINES = 4
 # Maximum number of loads that one step starts; the next step follows within 0.1 s.
 MAX_LOADS_PER_STEP = 4
@@ -205,7 +205,7 @@
     def _unload_s(self, model: str) -> float:
         """Return how long an unload may wait for running requests, in seconds."""
         idle_s = self._view.now_s - self._view.last_request_at_s(model)
-        return max(0.0, MAX_REQUEST_DURATION_S - idle_s)
+        return max(0.0, REQUEST_DURATION_S - idle_s)
 
     def _may_preload(self) -> bool:
         """Whether loads may start before any request, so that they end before the first one."""
--- a/src/crowsill/routing/advertised_limit.py
+++ b/src/crowsill/routing/advertised_limit.py
@@ -1,10 +1,10 @@
 """The rate limit that a replica advertises in its responses, for all gateways together. Pure.
 
 Responses of one replica reach many gateways in any order. Each process keeps the time when the
-limit was last advertised and the time when it ended. Reports from other processes are merged by
-these times, so the order in which they arrive does not matter, and a process that has just started
-gets the limit from any other one. Only a response without a limit, to a request that was sent after
-the limit was last advertised, ends the limit.
+limit was last advertised and the time when it was lifted. Reports from other processes are merged
+by these times, so that the order in which they arrive does not matter, and a process that has just
+started gets the limit from any other one. Only a response without a limit, to a request that was
+sent after the limit was last advertised, lifts the limit.
 """
 
 import re
@@ -12,8 +12,8 @@
 
 from crowsill.model.replica_limits import LimitReport
 
-# After a limit ends, the permitted rate doubles with each step, so that the callers that waited do
-# not all send at once.
+# After a limit is lifted, the permitted rate doubles with each step, so that waiting callers don't
+# all send at once.
 RAMP_STEP_S = 1.0
 RAMP_STEPS = 4
 # Lower bound of the rate from which the ramp starts.
@@ -50,8 +50,10 @@
             None while the limit is advertised.
 
     >>> limit = AdvertisedLimit()
-    >>> limit.note(2.0, now_s=5.0), limit.note(2.0, now_s=6.0), limit.note(1.0, now_s=7.0)
-    (True, False, True)
+    >>> limit.note_advertised(2.0, now_s=5.0), limit.note_advertised(2.0, now_s=6.0)
+    (True, False)
+    >>> limit.note_advertised(1.0, now_s=7.0)
+    True
     >>> limit.note_not_advertised(sent_s=6.5), limit.note_not_advertised(sent_s=7.5)
     (False, True)
     >>> limit.is_in_effect(7.0), limit.rate_per_s(8.0), limit.rate_per_s(9.0)
@@ -69,18 +71,18 @@
         """Whether the replica advertises a limit, by the latest response that counts."""
         return self.per_s is not None and self.lifted_at_s is None
 
-    def note(self, per_s: float, now_s: float) -> bool:
+    def note_advertised(self, per_s: float, now_s: float) -> bool:
         """Record a limit from a response; return whether it is new or its rate changed."""
         is_new = not self.is_advertised or per_s != self.per_s
         self.per_s, self.advertised_at_s, self.lifted_at_s = per_s, now_s, None
         return is_new
 
     def note_not_advertised(self, sent_s: float) -> bool:
-        """Record a response without a limit; return whether it ends the limit.
+        """Record a response without a limit; return whether it lifts the limit.
 
         Args:
             sent_s: Time when its request was sent. A response to a request that was sent before the
-                limit was last advertised does not end it.
+                limit was last advertised does not lift it.
         """
         if not self.is_advertised or sent_s <= self.advertised_at_s:
             return False
