--- a/src/crowsill/errors.py
+++ b/src/crowsill/errors.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""The closed list of error kinds, and the table of the response to each kind.
 
-Every refusal or failure that a caller or an operator can see has one `ErrorKind`. The table
-`ERROR_ANSWERS` gives the HTTP status, what is known about the run of this attempt, and whether
+Every rejection or failure that a caller or an operator can see has one `ErrorKind`. The table
+`ERROR_ANSWERS` gives the HTTP status, whether this attempt is known not to have run, and whether
 sending the same request again is safe. docs/ERRORS.md lists the same table and a test keeps the
 two equal.
 """
@@ -13,7 +13,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known about whether a request was run by a back end."""
+    """Whether a back end is known not to have run a request."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """How one kind of error is answered.
+    """The response to one kind of error.
 
     Attributes:
         status: HTTP status code.
-        outcome: What is known about the run of this attempt.
+        outcome: Whether this attempt is known not to have run.
         retryable: Whether sending the same request again is safe and useful.
         retry_after_s: Default `Retry-After` in seconds; None sends no such header.
     """
@@ -84,11 +84,11 @@
     ErrorKind.REQUEST_TIMEOUT: ErrorAnswer(408, _NOT_RUN, True),
     ErrorKind.KEY_REQUIRED: ErrorAnswer(400, _NOT_RUN, False),
     ErrorKind.KEY_CONFLICT: ErrorAnswer(422, _NOT_RUN, False),
-    # The first attempt with the key may be running: only that attempt's answer can tell.
+    # The first attempt with the key may be running; only its response shows the outcome.
     ErrorKind.KEY_IN_PROGRESS: ErrorAnswer(409, _UNKNOWN, True, 1),
     ErrorKind.KEY_EXPIRED: ErrorAnswer(410, _UNKNOWN, False),
     ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(409, _UNKNOWN, False),
-    # An earlier attempt with the key may have run, and no majority can say.
+    # An earlier attempt with the key may have run, and no majority is reachable to find out.
     ErrorKind.CLAIMS_UNAVAILABLE: ErrorAnswer(503, _UNKNOWN, True, 2),
     ErrorKind.RATE_LIMITED: ErrorAnswer(429, _NOT_RUN, True, 1),
     ErrorKind.OVERLOADED: ErrorAnswer(503, _NOT_RUN, True, 2),
@@ -98,8 +98,8 @@
     ErrorKind.BACKEND_FAILED: ErrorAnswer(502, _UNKNOWN, False),
     ErrorKind.ANSWER_TRUNCATED: ErrorAnswer(502, _UNKNOWN, False),
     ErrorKind.NOT_READY: ErrorAnswer(503, _NOT_RUN, True, 2),
-    # No status that blames the caller: what is held back may be a victim that shares path, caller
-    # and body with the culprit.
+    # Not a 4xx status: a quarantined request may be harmless and only share path, caller and body
+    # with the request that crashes replicas.
     ErrorKind.QUARANTINED: ErrorAnswer(503, _NOT_RUN, True, 300),
     ErrorKind.CONFIGURATION_INVALID: ErrorAnswer(422, _NOT_RUN, False),
     ErrorKind.CONFIGURATION_CONFLICT: ErrorAnswer(409, _NOT_RUN, False),
@@ -110,11 +110,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One error on its way to a caller: the failure side of every `Result`.
+    """One error for a caller: the failure value of every `Result`.
 
     Attributes:
-        kind: The kind that selects the answer.
-        detail: One sentence for the reader of the answer.
+        kind: The kind that selects the response.
+        detail: One sentence for the reader of the response.
         retry_after_s: Overrides the table's `Retry-After` when set.
         outcome: Overrides the table's outcome when more is known.
     """
@@ -134,7 +134,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The JSON body of every error answer."""
+    """The JSON body of every error response."""
 
     kind: str
     outcome: str
--- a/src/crowsill/events.py
+++ b/src/crowsill/events.py
@@ -1,7 +1,7 @@
 """The closed list of numbered log events.
 
-docs/EVENTS.md is the catalogue for operators; a test keeps it equal to this list. Numbers are
-never reused: 1xx daemon life, 2xx routing, 3xx consensus and storage, 4xx configuration,
+docs/EVENTS.md is the reference for operators; a test keeps it equal to this list. Numbers are never
+reused: 1xx daemon lifecycle, 2xx routing, 3xx consensus and storage, 4xx configuration,
 5xx placement and fleet, 6xx claims.
 """
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EventDefinition:
-    """One kind of log line.
+    """Definition of one kind of log line.
 
     Attributes:
-        number: Stable number.
+        number: Number that never changes.
         level: Log level name.
-        meaning: One sentence for the catalogue.
+        meaning: One sentence for the reference.
     """
 
     number: int
@@ -28,128 +28,184 @@
     """Every event that crowsill logs."""
 
     DAEMON_STARTED = EventDefinition(100, "INFO", "The daemon has opened its listeners.")
-    DRAIN_STARTED = EventDefinition(101, "INFO", "A stop was asked for; readiness is withdrawn.")
-    DRAIN_FINISHED = EventDefinition(102, "INFO", "Every request in flight has ended.")
-    DRAIN_LIMIT = EventDefinition(103, "ERROR", "The drain limit passed with requests in flight.")
+    DRAIN_STARTED = EventDefinition(
+        101, "INFO", "A stop was requested; the process is no longer ready."
+    )
+    DRAIN_FINISHED = EventDefinition(102, "INFO", "All requests in flight have finished.")
+    DRAIN_LIMIT = EventDefinition(
+        103, "ERROR", "The drain time limit expired with requests in flight."
+    )
     READINESS_CHANGED = EventDefinition(104, "INFO", "The readiness of this process changed.")
-    INTERNAL_ERROR = EventDefinition(105, "ERROR", "An unexpected error was contained.")
-
-    REQUEST_ROUTED = EventDefinition(200, "INFO", "A request was given to a replica, and why.")
-    REQUEST_REFUSED = EventDefinition(201, "INFO", "A request was refused, with its error kind.")
-    REQUEST_FINISHED = EventDefinition(202, "INFO", "A request was answered whole.")
-    REQUEST_RETRIED = EventDefinition(203, "INFO", "A safe request goes to another replica.")
-    STREAM_RESUMED = EventDefinition(204, "INFO", "A broken stream was resumed at its engine.")
-    CIRCUIT_OPENED = EventDefinition(205, "WARNING", "A replica failed repeatedly; calls stop.")
-    CIRCUIT_CLOSED = EventDefinition(206, "INFO", "A replica answers again; calls go on.")
+    INTERNAL_ERROR = EventDefinition(105, "ERROR", "An unexpected error occurred.")
+
+    REQUEST_ROUTED = EventDefinition(
+        200, "INFO", "A request was sent to a replica; the line gives the reason."
+    )
+    REQUEST_REFUSED = EventDefinition(
+        201, "INFO", "A request was rejected; the line gives the error kind."
+    )
+    REQUEST_FINISHED = EventDefinition(202, "INFO", "A request got a complete response.")
+    REQUEST_RETRIED = EventDefinition(
+        203, "INFO", "A request that is safe to repeat is sent to another replica."
+    )
+    STREAM_RESUMED = EventDefinition(
+        204, "INFO", "An interrupted stream was resumed at its engine."
+    )
+    CIRCUIT_OPENED = EventDefinition(
+        205, "WARNING", "A replica failed repeatedly; its circuit breaker opened."
+    )
+    CIRCUIT_CLOSED = EventDefinition(
+        206, "INFO", "A replica responds again; its circuit breaker closed."
+    )
     REQUEST_HELD = EventDefinition(207, "INFO", "A request waits for a replica that can run it.")
-    ATTEMPT_FAILED = EventDefinition(208, "INFO", "A sending to a replica brought no answer.")
-    CALLER_LEFT = EventDefinition(209, "INFO", "A caller left before its answer was whole.")
+    ATTEMPT_FAILED = EventDefinition(208, "INFO", "An attempt at a replica got no response.")
+    CALLER_LEFT = EventDefinition(
+        209, "INFO", "A caller disconnected before its response was complete."
+    )
 
     REPLICA_ENDED = EventDefinition(
-        210, "WARNING", "A replica ended while it ran requests; they are suspects from now on."
+        210, "WARNING", "A replica crashed while it ran requests; these requests are now suspects."
     )
     REPLICA_RESTS = EventDefinition(
-        211, "INFO", "A replica turned a request away and asked for rest: it gets none meanwhile."
+        211,
+        "INFO",
+        "A replica rejected a request and requested a backoff; it gets no requests meanwhile.",
     )
     REPLICA_RESTED = EventDefinition(
-        212, "INFO", "The rest of a replica is over; what was sent there meanwhile."
+        212, "INFO", "The backoff of a replica ended; the line counts the requests sent during it."
     )
     REPLICA_LEAVES = EventDefinition(
-        213, "INFO", "A replica said in an answer that it leaves: it gets nothing new."
+        213, "INFO", "A replica reported in a response that it drains; it gets no new requests."
     )
     SIGNAL_UNREADABLE = EventDefinition(
         214,
         "WARNING",
-        "What a replica says of itself in an answer cannot be read, and says nothing.",
+        "A signal in a replica's response cannot be parsed; it is ignored.",
     )
     REPLICA_LIMITED = EventDefinition(
-        215, "INFO", "A replica named the requests a second that it takes, or another number."
+        215, "INFO", "A replica advertised a rate limit in requests per second, or changed it."
     )
     REPLICA_UNLIMITED = EventDefinition(
-        216, "INFO", "A replica names no limit any more; what was sent there meanwhile."
+        216,
+        "INFO",
+        "A replica no longer advertises a rate limit; the line counts the requests sent under it.",
     )
 
     ROLE_CHANGED = EventDefinition(300, "INFO", "This control member changed its role.")
-    LOG_TAIL_CUT = EventDefinition(301, "WARNING", "An unsynced torn tail of the log was cut.")
-    LOG_DAMAGED = EventDefinition(302, "ERROR", "The log is damaged before its end; refused.")
-    INVARIANT_BROKEN = EventDefinition(303, "CRITICAL", "An invariant failed; the process stops.")
-    PEER_CONNECTED = EventDefinition(304, "INFO", "A stream to a control member is open.")
-    PEER_LOST = EventDefinition(305, "INFO", "A stream to a control member ended.")
+    LOG_TAIL_CUT = EventDefinition(
+        301, "WARNING", "An incomplete, unsynced record at the end of the log was truncated."
+    )
+    LOG_DAMAGED = EventDefinition(
+        302, "ERROR", "The log is corrupt before its end; the member does not start."
+    )
+    INVARIANT_BROKEN = EventDefinition(
+        303, "CRITICAL", "An invariant was violated; the process stops."
+    )
+    PEER_CONNECTED = EventDefinition(304, "INFO", "A stream to a control member was opened.")
+    PEER_LOST = EventDefinition(305, "INFO", "A stream to a control member was closed.")
     SNAPSHOT_TAKEN = EventDefinition(306, "INFO", "The log was compacted into a snapshot.")
     SNAPSHOT_INSTALLED = EventDefinition(307, "INFO", "A snapshot from the leader was installed.")
     MEMBERS_CHANGED = EventDefinition(308, "INFO", "The group's membership changed.")
 
-    JOIN_ASKED = EventDefinition(309, "INFO", "This member asks to join the group.")
+    JOIN_ASKED = EventDefinition(309, "INFO", "This member requested to join the group.")
     GROUP_FORMED = EventDefinition(310, "INFO", "This member formed a new group with its seeds.")
-    STORAGE_FAILED = EventDefinition(311, "ERROR", "The disk refused a write; it is repeated.")
+    STORAGE_FAILED = EventDefinition(311, "ERROR", "A disk write failed; it is retried.")
 
     LEADER_FOUND = EventDefinition(
         312, "INFO", "A control process without a disk found the leader."
     )
 
     MEMBER_STALLED = EventDefinition(
-        313, "WARNING", "This control member did not run for a while, and told nobody anything."
+        313,
+        "WARNING",
+        "This control member did not run for a while and sent no messages meanwhile.",
     )
     STORAGE_SLOW = EventDefinition(
-        314, "WARNING", "A write to the disk has not ended; nothing is applied meanwhile."
+        314, "WARNING", "A disk write has not finished; nothing is applied meanwhile."
     )
 
     MEMBER_BEHIND = EventDefinition(
-        315, "WARNING", "This member lacks what the leader confirmed; its followers are sent on."
+        315,
+        "WARNING",
+        "This member is missing state that the leader confirmed; its followers are redirected.",
     )
     GROUP_NOT_FOUND = EventDefinition(
-        316, "WARNING", "Nobody whom this process knows could tell it where the control group is."
+        316, "WARNING", "No process that this process contacted knows where the control group is."
     )
     GROUP_TOLD = EventDefinition(
-        317, "INFO", "A leader told this process, unasked, where the control group is."
+        317,
+        "INFO",
+        "A leader reported the location of the control group to this process without a request.",
     )
 
     CONFIGURATION_ACCEPTED = EventDefinition(400, "INFO", "A configuration change was committed.")
-    CONFIGURATION_REFUSED = EventDefinition(401, "INFO", "A configuration change was refused.")
+    CONFIGURATION_REFUSED = EventDefinition(401, "INFO", "A configuration change was rejected.")
     CONFIGURATION_ADOPTED = EventDefinition(402, "INFO", "This entry serves a new revision.")
-    CURRENCY_LOST = EventDefinition(403, "WARNING", "This entry cannot prove it is current.")
+    CURRENCY_LOST = EventDefinition(
+        403, "WARNING", "This entry cannot prove that its configuration is current."
+    )
 
-    ROUTES_PUBLISHED = EventDefinition(404, "INFO", "A route configuration was put in force.")
-    ROUTES_REFUSED = EventDefinition(405, "INFO", "A route configuration was refused, and why.")
+    ROUTES_PUBLISHED = EventDefinition(404, "INFO", "A route configuration took effect.")
+    ROUTES_REFUSED = EventDefinition(
+        405, "INFO", "A route configuration was rejected; the line gives the reason."
+    )
     ROUTES_ADOPTED = EventDefinition(406, "INFO", "This gateway serves a newer route version.")
     SETTINGS_RELOADED = EventDefinition(407, "INFO", "The settings file was read again.")
-    SETTINGS_REFUSED = EventDefinition(408, "ERROR", "Changed settings are unusable; kept as were.")
+    SETTINGS_REFUSED = EventDefinition(
+        408, "ERROR", "Changed settings are invalid; the previous ones stay in effect."
+    )
 
     ROUTES_AWAITED = EventDefinition(
-        409, "WARNING", "This gateway lacks routes or replicas that its control member confirmed."
+        409,
+        "WARNING",
+        "This gateway is missing routes or replicas that its control member confirmed.",
     )
 
-    FLEET_CHANGED = EventDefinition(500, "INFO", "A replica appeared, changed state or left.")
-    PLACEMENT_DECIDED = EventDefinition(501, "INFO", "A load or unload was decided, and why.")
-    ORDER_SETTLED = EventDefinition(502, "INFO", "An engine confirmed or refused an order.")
+    FLEET_CHANGED = EventDefinition(
+        500, "INFO", "A replica appeared, changed its state or was removed."
+    )
+    PLACEMENT_DECIDED = EventDefinition(
+        501, "INFO", "A load or unload was decided; the line gives the reason."
+    )
+    ORDER_SETTLED = EventDefinition(502, "INFO", "An order to an engine succeeded or failed.")
     ORDER_RETRIED = EventDefinition(503, "INFO", "An unconfirmed order was sent again.")
 
-    INSTANCE_RECORDED = EventDefinition(504, "INFO", "A registered replica changed or is new.")
-    INSTANCE_REMOVED = EventDefinition(505, "INFO", "A registered replica is gone for good.")
-    ORDER_ANSWERED = EventDefinition(506, "INFO", "An engine answered an order, or did not.")
+    INSTANCE_RECORDED = EventDefinition(
+        504, "INFO", "A replica was registered, or its registration changed."
+    )
+    INSTANCE_REMOVED = EventDefinition(505, "INFO", "A registered replica was removed permanently.")
+    ORDER_ANSWERED = EventDefinition(
+        506, "INFO", "An engine responded to an order, or no response arrived."
+    )
     PLACEMENT_DEFERRED = EventDefinition(
-        507, "INFO", "What requests wait for is not loaded, and why."
+        507, "INFO", "A resource that requests wait for is not loaded; the line gives the reason."
     )
 
     CRASH_RECORDED = EventDefinition(
-        508, "WARNING", "The group counted the end of a replica against the requests it ran."
+        508, "WARNING", "The group recorded the crash of a replica for the requests that it ran."
     )
     REQUEST_QUARANTINED = EventDefinition(
-        509, "ERROR", "Replicas ended under one request too often; gateways hold it back."
+        509, "ERROR", "Too many replicas crashed while they ran one request; gateways reject it."
     )
     SUSPECTS_CLEARED = EventDefinition(
-        510, "INFO", "Requests are no longer suspects: answered whole, lifted, or too old."
+        510,
+        "INFO",
+        "Requests are no longer suspects: completed, lifted by an operator, or too old.",
     )
 
     HEARTBEAT_REFUSED = EventDefinition(
-        511, "WARNING", "What came as a heartbeat describes no replica to use; nothing changed."
+        511, "WARNING", "A heartbeat does not describe a usable replica; it changes nothing."
     )
 
     INSTANCE_LEAVES = EventDefinition(
-        512, "INFO", "The group recorded that a replica leaves, by its own word in an answer."
+        512,
+        "INFO",
+        "The group recorded that a replica drains, as the replica reported in a response.",
     )
     REPLICA_LIMIT_KNOWN = EventDefinition(
-        513, "INFO", "This member learnt the limit that a replica names, or that it names none."
+        513,
+        "INFO",
+        "This member received the rate limit that a replica advertises, or that it has none.",
     )
 
     CLAIM_ABANDONED = EventDefinition(600, "WARNING", "The outcome of a claimed request is lost.")
--- a/src/crowsill/metrics.py
+++ b/src/crowsill/metrics.py
@@ -13,7 +13,7 @@
 
 CONTROL_BYTES = Counter(
     "crowsill_control_bytes",
-    "Bytes on streams between crowsill's processes.",
+    "Bytes on streams between crowsill processes.",
     ["direction"],
     registry=REGISTRY,
 )
@@ -25,13 +25,13 @@
 )
 ATTAINED = Counter(
     "crowsill_requests_attained",
-    "Requests whose first byte came within their target.",
+    "Requests whose first response byte was sent within their target latency.",
     ["tenant", "urgency"],
     registry=REGISTRY,
 )
 FIRST_BYTE_S = Histogram(
     "crowsill_first_byte_seconds",
-    "Time from arrival to the first byte of the answer.",
+    "Time from arrival to the first byte of the response.",
     ["urgency"],
     buckets=_LATENCY_BUCKETS_S,
     registry=REGISTRY,
@@ -44,76 +44,79 @@
 )
 GATEWAY_REQUESTS = Counter(
     "crowsill_gateway_requests",
-    "Requests that a gateway ended, by kind of route and result (answered or an error kind).",
+    "Requests that a gateway finished, by kind of route and result (answered or an error kind).",
     ["kind", "result"],
     registry=REGISTRY,
 )
 GATEWAY_FIRST_BYTE_S = Histogram(
     "crowsill_gateway_first_byte_seconds",
-    "Time from a request's last byte to the first byte of its answer's body, by kind of route.",
+    "Time from a request's last byte to the first byte of its response body, by kind of route.",
     ["kind"],
     buckets=_LATENCY_BUCKETS_S,
     registry=REGISTRY,
 )
 GATEWAY_ATTEMPTS = Counter(
     "crowsill_gateway_attempts",
-    "Sendings to replicas, by result (whole, not_run, failed, cut, unreachable).",
+    "Attempts at replicas, by result (whole, not_run, failed, cut, unreachable).",
     ["result"],
     registry=REGISTRY,
 )
 REPLICA_SIGNALS = Counter(
     "crowsill_replica_signals",
-    "Rests that replicas asked for, limits that they named, lives that said they leave, and what "
-    "cannot be read.",
+    "Signals of replicas: requested backoffs, advertised rate limits, reports that an incarnation "
+    "drains, and signals that cannot be parsed.",
     ["signal"],
     registry=REGISTRY,
 )
 SENT_IN_REST = Counter(
     "crowsill_sent_in_rest",
-    "Requests sent to replicas while these had asked for rest.",
+    "Requests sent to replicas during a backoff that they requested.",
     registry=REGISTRY,
 )
 SENT_UNDER_LIMIT = Counter(
     "crowsill_sent_under_limit",
-    "Requests sent to replicas while these named a limit.",
+    "Requests sent to replicas that advertised a rate limit.",
     registry=REGISTRY,
 )
 REPLICA_GRANTS = Counter(
     "crowsill_replica_grants",
-    "Requests asked for at replicas that name a limit, by result (granted, refused, no_leader).",
+    "Requests for which a grant of a replica's rate limit was requested, by result (granted, "
+    "refused, no_leader).",
     ["result"],
     registry=REGISTRY,
 )
 TENANT_UNITS = Counter(
     "crowsill_tenant_units",
-    "Units of tenants' rates by result (granted, refused, no_leader).",
+    "Units of tenants' rate limits, by result (granted, refused, no_leader).",
     ["tenant", "result"],
     registry=REGISTRY,
 )
 DIRECTORY_VERSION = Gauge(
-    "crowsill_directory_version", "Version of the directory of replicas here.", registry=REGISTRY
+    "crowsill_directory_version", "Version of the replica directory here.", registry=REGISTRY
 )
 HEARTBEATS_REFUSED = Counter(
     "crowsill_heartbeats_refused",
-    "Heartbeats and ends that describe no replica to use.",
+    "Heartbeats and deregistrations that do not describe a usable replica.",
     registry=REGISTRY,
 )
 QUARANTINED = Gauge(
     "crowsill_quarantined_requests",
-    "Requests held back because replicas ended while they ran them, as this member knows.",
+    "Requests quarantined because replicas crashed while they ran them, as known to this member.",
     registry=REGISTRY,
 )
 QUEUED = Gauge(
     "crowsill_queued_requests", "Requests that wait for a replica.", ["urgency"], registry=REGISTRY
 )
-IN_FLIGHT = Gauge("crowsill_requests_in_flight", "Requests not yet answered.", registry=REGISTRY)
-REVISION = Gauge("crowsill_configuration_revision", "Revision in force here.", registry=REGISTRY)
+IN_FLIGHT = Gauge(
+    "crowsill_requests_in_flight", "Requests without a response yet.", registry=REGISTRY
+)
+REVISION = Gauge("crowsill_configuration_revision", "Revision in effect here.", registry=REGISTRY)
 ROUTES_VERSION = Gauge(
     "crowsill_routes_version", "Version of the route configuration here.", registry=REGISTRY
 )
 READY = Gauge("crowsill_ready", "1 while this process is ready.", registry=REGISTRY)
 INVARIANT_FAILURES = Counter(
-    "crowsill_invariant_failures", "Invariants found broken.", registry=REGISTRY
+    "crowsill_invariant_failures", "Violated invariants.", registry=REGISTRY
 )
 COMMITS = Counter("crowsill_committed_commands", "Commands applied here.", registry=REGISTRY)
 COMMIT_S = Histogram(
@@ -129,7 +132,7 @@
     registry=REGISTRY,
 )
 
-# Labels of each family by its name, for the reference page.
+# Labels by metric name, for the reference page.
 LABELS: dict[str, tuple[str, ...]] = {
     family._name: family._labelnames
     for family in list(globals().values())
@@ -139,13 +142,13 @@
 
 @functools.cache
 def request_counter(tenant: str, urgency: str, result: str) -> Counter:
-    """Return the counter of requests with these labels; cached, since it is on every path."""
+    """Return the counter of requests with these labels; cached because every request uses it."""
     return REQUESTS.labels(tenant, urgency, result)
 
 
 @functools.cache
 def attained_counter(tenant: str, urgency: str) -> Counter:
-    """Return the counter of attained requests with these labels."""
+    """Return the counter of requests that met their target latency, with these labels."""
     return ATTAINED.labels(tenant, urgency)
 
 
@@ -155,13 +158,13 @@
     return FIRST_BYTE_S.labels(urgency)
 
 
-# Tenants that are counted by name; a page of metrics is read every few seconds.
+# Limits the size of the metrics page, which is scraped every few seconds.
 MOST_TENANTS = 100
 _counted_tenants: set[str] = set()
 
 
 def note_tenant_units(tenant: str, result: str, units: float) -> None:
-    """Count units that a tenant was granted or refused; tenants beyond a number count as one."""
+    """Count units granted or refused to a tenant; after `MOST_TENANTS`, as tenant `others`."""
     if tenant not in _counted_tenants:
         if len(_counted_tenants) >= MOST_TENANTS:
             tenant = "others"
