--- a/src/crowsill/constants.py
+++ b/src/crowsill/constants.py
@@ -1,4 +1,4 @@
-"""Named constants shared by several modules, with their units in their names."""
+"""Constants shared by several modules; their names end with their units."""
 
 HEADER_REQUEST_ID = "X-Request-Id"
 HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
--- a/src/crowsill/daemon.py
+++ b/src/crowsill/daemon.py
@@ -1,10 +1,10 @@
-"""The daemon `crowsilld`: one process, one event loop, the roles its settings name.
+"""The daemon `crowsilld`: one process with one event loop, which runs the configured roles.
 
-Exit codes: 0 after a planned stop, 2 for unusable arguments or settings, 3 when the data folder
-cannot be used, 4 when an invariant broke or the process failed, 5 when the drain limit passed.
+Exit codes: 0 after a planned stop, 2 for invalid arguments or settings, 3 if the data folder cannot
+be used, 4 if an invariant was violated or the process failed, 5 if the drain time limit expired.
 """
 
-# First: until it is imported, SIGHUP ends the process.
+# Must be the first import: until then, SIGHUP terminates the process.
 import crowsill.early_signals  # noqa: F401, I001
 import asyncio
 import gc
@@ -17,7 +17,7 @@
 
 from returns.result import Failure, Result, Success
 
-# Imported early, because it notes when the process began.
+# Imported early because it records the start time of the process.
 from crowsill.clock import PROCESS_STARTED_S, monotonic_s
 from crowsill.event_loop import run_daemon_loop
 from crowsill.events import Event
@@ -37,26 +37,26 @@
 EXIT_STORAGE = 3
 EXIT_FAILED = 4
 EXIT_DRAIN_LIMIT = 5
-GC_YOUNG_OBJECTS = 20_000
+GC_YOUNG_THRESHOLD = 20_000
 USAGE = "usage: crowsilld SETTINGS.toml"
-SETTINGS_POLL_S = 1.0
-CONTROL_STOP_LIMIT_S = 6.0
+SETTINGS_POLL_INTERVAL_S = 1.0
+CONTROL_STOP_TIMEOUT_S = 6.0
 
 SettingsLoader = Callable[[], Result[Settings, str]]
 
 
 class Daemon:
-    """The roles of one process and their common life."""
+    """Starts, reloads, drains and stops the roles of one process."""
 
     def __init__(
         self, settings: Settings, key: bytes, ports: PlatformPorts, load: SettingsLoader
     ) -> None:
-        """Make a daemon.
+        """Create a daemon.
 
         Args:
-            settings: Its settings.
+            settings: Settings of the process.
             key: The cluster key.
-            ports: How outside systems are spoken to.
+            ports: Interfaces to outside systems.
             load: Reads the settings again.
         """
         self._load = load
@@ -69,7 +69,7 @@
         self._stop = asyncio.Event()
 
     async def run(self) -> int:
-        """Run until a stop is asked for or something fails; return the exit code."""
+        """Run until a stop is requested or a role fails; return the exit code."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
@@ -87,17 +87,17 @@
             log_event(Event.INTERNAL_ERROR, where="control", error=repr(failure))
             return EXIT_FAILED
         try:
-            async with asyncio.timeout(self._stop_limit_s()):
+            async with asyncio.timeout(self._stop_timeout_s()):
                 return await self._drain()
         except TimeoutError:
-            # A disk that hangs must not keep the process past its grace time.
+            # A disk that hangs must not keep the process running past its grace period.
             log_event(Event.DRAIN_LIMIT, where="stop")
             flush_logs()
             os._exit(EXIT_DRAIN_LIMIT)
 
-    def _stop_limit_s(self) -> float:
+    def _stop_timeout_s(self) -> float:
         settings = self._settings
-        limits = [CONTROL_STOP_LIMIT_S if settings.control is not None else 0.0]
+        limits = [CONTROL_STOP_TIMEOUT_S if settings.control is not None else 0.0]
         if settings.gateway is not None:
             limits.append(settings.gateway.grace_s)
         if settings.entry is not None:
@@ -106,8 +106,8 @@
 
     async def _start(self) -> Result[None, str]:
         settings = self._settings
-        # Each role's modules are imported only where the role is played: imports cost start time
-        # and memory, of which small machines have little.
+        # The modules of a role are imported only if the process has the role, because imports cost
+        # start time, and memory that is scarce on small machines.
         if settings.control is not None:
             started = await self._start_control(settings.control)
             if not isinstance(started, Success):
@@ -145,7 +145,7 @@
         return await member.start()
 
     async def _wait(self) -> BaseException | None:
-        """Wait for a stop or for the control member to fail; return the failure."""
+        """Wait for a stop request or a failure of the control role; return the failure."""
         waiting = [asyncio.create_task(self._wait_for_stop())]
         if self._control is not None:
             waiting.append(asyncio.create_task(self._control.wait_for_failure()))
@@ -159,13 +159,13 @@
         return None
 
     async def _watch_settings(self) -> None:
-        """Read the settings again when they have changed without a signal."""
+        """Reload settings that changed without a signal."""
         while True:
-            await asyncio.sleep(SETTINGS_POLL_S)
+            await asyncio.sleep(SETTINGS_POLL_INTERVAL_S)
             self._reload(only_if_changed=True)
 
     def _reload(self, only_if_changed: bool = False) -> None:
-        """Take over what may change while the process runs: the seeds."""
+        """Apply the settings that may change while the process runs: the seeds."""
         loaded = self._load()
         if not isinstance(loaded, Success):
             log_event(Event.SETTINGS_REFUSED, detail=loaded.failure())
@@ -198,12 +198,12 @@
 
 
 def tune_garbage_collector() -> None:
-    """Keep what was imported out of collections, and collect young objects less often.
+    """Exclude imported objects from collections, and collect young objects less often.
 
-    Requests leave little garbage in cycles; a collection walks everything that is alive.
+    Requests leave few reference cycles, and a collection traverses all live objects.
     """
     gc.freeze()
-    gc.set_threshold(GC_YOUNG_OBJECTS)
+    gc.set_threshold(GC_YOUNG_THRESHOLD)
 
 
 def main() -> None:
@@ -220,7 +220,7 @@
 
     Args:
         load: Reads its settings; called again when they may have changed.
-        ports: How outside systems are spoken to.
+        ports: Interfaces to outside systems.
 
     Returns:
         The exit code.
--- a/src/crowsill/early_signals.py
+++ b/src/crowsill/early_signals.py
@@ -1,9 +1,9 @@
-"""Imported before anything else by a program that obeys SIGHUP: ignores it until then.
+"""Ignores SIGHUP until the program handles it; must be the program's first import.
 
-SIGHUP says that the settings have changed, and the system's default is to end the process. Until
-the event loop takes the signal over, after 0.2 s of imports and more on a busy machine, it ended a
-process without a word: a gateway of the fault soak was gone for good so. Nothing is
-missed: the settings are read after this, and looked at again each second.
+SIGHUP announces changed settings, but by default it terminates the process. The event loop handles
+the signal only after the imports, which take 0.2 s and more on a busy machine. Until then, SIGHUP
+terminated a starting gateway permanently and without a log line. Ignoring it loses no change:
+the settings are read after the imports and checked again every second.
 """
 
 import signal
--- a/src/crowsill/event_loop.py
+++ b/src/crowsill/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a daemon, whose clock also counts the time of a suspension."""
+"""The event loop of a daemon; its clock includes the time while the machine is suspended."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,20 +10,20 @@
 
 
 class DaemonEventLoop(asyncio.SelectorEventLoop):
-    """A loop on `monotonic_s`.
+    """An event loop that uses `monotonic_s` as its clock.
 
-    Deadlines of requests, windows of budgets, silences and time-outs are timed by the loop. On the
-    usual clock, which stands still while the machine is suspended, a request that was held across a
-    suspension of 2 s was passed on with 2 s more than its caller would wait. A timer fires with the
-    first event or nearer timer after the suspension, within a heartbeat (0.5 s).
+    The loop times request deadlines, budget windows and timeouts. The default clock stops while the
+    machine is suspended: a request that waited across a suspension of 2 s was forwarded with a
+    deadline 2 s later than its caller's. After a suspension, a timer fires with the first event or
+    earlier timer, which comes within a heartbeat interval (0.5 s).
     """
 
     def time(self) -> float:
-        """Return the clock, in seconds."""
+        """Return the time of the loop's clock, in seconds."""
         return monotonic_s()
 
 
 def run_daemon_loop(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end on a loop of its own."""
+    """Run a coroutine to completion on a new `DaemonEventLoop`."""
     with asyncio.Runner(loop_factory=DaemonEventLoop) as runner:
         return runner.run(main)
--- a/src/crowsill/log_writer.py
+++ b/src/crowsill/log_writer.py
@@ -1,7 +1,7 @@
-"""Writes log lines without ever holding up the event loop.
+"""Writes log lines without blocking the event loop.
 
-Lines go into a bounded buffer; a thread writes them out in batches. Whoever reads the output may be
-slow or stop reading: then lines are left out, and the next line that gets through says how many.
+Lines go into a bounded buffer, which a thread writes in batches. If the reader of the output is
+slow or stops, lines are dropped, and the next line that is written gives their number.
 """
 
 import atexit
@@ -9,7 +9,7 @@
 import threading
 
 BUFFER_BYTES = 1024 * 1024
-BATCH_S = 0.05
+BATCH_INTERVAL_S = 0.05
 CLOSE_TIMEOUT_S = 0.5
 
 
@@ -17,74 +17,75 @@
     """A bounded buffer in front of a file descriptor.
 
     Attributes:
-        left_out: Lines left out since the writer was made.
+        dropped_lines: Number of lines dropped since the writer was created.
     """
 
     def __init__(self, descriptor: int, buffer_bytes: int = BUFFER_BYTES) -> None:
-        """Start to write.
+        """Start the writer thread.
 
         Args:
-            descriptor: Where the lines go.
-            buffer_bytes: Bytes that may wait; lines beyond them are left out.
+            descriptor: File descriptor to write to.
+            buffer_bytes: Size of the buffer; lines that do not fit are dropped.
         """
         self._descriptor = descriptor
-        self._buffer_bytes = buffer_bytes
+        self._capacity_bytes = buffer_bytes
         self._lock = threading.Lock()
         self._lines: list[str] = []
-        self._waiting_bytes = 0
-        self._left_out_now = 0
-        self.left_out = 0
-        self._filled = threading.Event()
+        self._buffered_bytes = 0
+        self._unreported_dropped_lines = 0
+        self.dropped_lines = 0
+        self._has_lines = threading.Event()
         self._closing = False
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
         self._thread.start()
         atexit.register(self.close)
 
     def write(self, line: str) -> None:
-        """Take a line; never waits."""
+        """Add a line to the buffer without blocking."""
         with self._lock:
-            if self._waiting_bytes + len(line) > self._buffer_bytes:
-                self.left_out += 1
-                self._left_out_now += 1
+            if self._buffered_bytes + len(line) > self._capacity_bytes:
+                self.dropped_lines += 1
+                self._unreported_dropped_lines += 1
                 return
             self._lines.append(line)
-            self._waiting_bytes += len(line)
-        if not self._filled.is_set():
-            self._filled.set()
+            self._buffered_bytes += len(line)
+        if not self._has_lines.is_set():
+            self._has_lines.set()
 
-    def _take(self) -> str:
+    def _drain_buffer(self) -> str:
         with self._lock:
-            if self._left_out_now:
-                self._lines.append(f"log_writer left out {self._left_out_now} lines\n")
-                self._left_out_now = 0
+            if self._unreported_dropped_lines:
+                self._lines.append(f"log_writer left out {self._unreported_dropped_lines} lines\n")
+                self._unreported_dropped_lines = 0
             text = "".join(self._lines)
             self._lines.clear()
             return text
 
     def _run(self) -> None:
         while not self._closing:
-            self._filled.wait()
+            self._has_lines.wait()
             if not self._closing:
-                # A moment for more lines, so that many go out with one call.
-                threading.Event().wait(BATCH_S)
-            self._filled.clear()
-            self._write_out(self._take())
-        # What came while the last batch was written: the last lines before a process ends tell why.
-        self._write_out(self._take())
+                # Wait for more lines, so that one call writes many.
+                threading.Event().wait(BATCH_INTERVAL_S)
+            self._has_lines.clear()
+            self._write_all(self._drain_buffer())
+        # Also write the lines added during the last batch: the last lines before a process ends
+        # give the reason.
+        self._write_all(self._drain_buffer())
 
-    def _write_out(self, text: str) -> None:
+    def _write_all(self, text: str) -> None:
         data = text.encode("utf-8", "replace")
         try:
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # Nobody reads any more; there is nowhere to say so.
+            # The output is closed, so the error cannot be logged either.
             pass
         with self._lock:
-            self._waiting_bytes = max(0, self._waiting_bytes - len(text))
+            self._buffered_bytes = max(0, self._buffered_bytes - len(text))
 
     def close(self) -> None:
-        """Write what waits, for a short time at most."""
+        """Write the buffered lines, for at most `CLOSE_TIMEOUT_S`."""
         self._closing = True
-        self._filled.set()
+        self._has_lines.set()
         self._thread.join(CLOSE_TIMEOUT_S)
--- a/src/crowsill/logs.py
+++ b/src/crowsill/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output: one line per event, `key=value` after number and name."""
+"""Structured logs on standard output: one line per event, with number, name and `key=value`."""
 
 import sys
 import time
@@ -11,18 +11,18 @@
 
 _LEVEL_NUMBERS = {"DEBUG": 10, "INFO": 20, "WARNING": 30, "ERROR": 40, "CRITICAL": 50}
 _minimum_level = _LEVEL_NUMBERS["INFO"]
-# The time stamp is made here: loguru's own formatting of it took a fifth of the cost of a line.
+# `log_event` formats the timestamp: formatting by loguru takes a fifth of the time of a line.
 _FORMAT = "{message}"
 _writers: list[LogWriter] = []
 
 
 def configure_logs(node: str, level: str, sink: Callable[[str], None] | None = None) -> None:
-    """Send log lines of at least `level` to standard output, each marked with the node's name.
+    """Write log lines of at least `level` to standard output, each with the node's name.
 
     Args:
-        node: Name of this process in every line.
-        level: Lowest level that is written.
-        sink: Receives each line in place of standard output; used by tests.
+        node: Name of this process.
+        level: Minimum level of the lines that are written.
+        sink: Receives each line instead of standard output; used by tests.
     """
     global _minimum_level  # noqa: PLW0603
     _minimum_level = _LEVEL_NUMBERS[level]
@@ -32,12 +32,12 @@
         writer = LogWriter(sys.stdout.fileno())
         _writers.append(writer)
         target = writer.write
-    # No queue: loguru's queue needs shared memory, which the platform does not give.
+    # loguru's queue is not used: it needs shared memory, which the platform does not provide.
     logger.add(target, format=_FORMAT + f" node={node}", level=level, colorize=False)
 
 
 def flush_logs() -> None:
-    """Write what waits, for a short time at most, before the process ends by force."""
+    """Write buffered lines, with a timeout, before the process is terminated by force."""
     for writer in _writers:
         writer.close()
 
@@ -74,8 +74,8 @@
     """Write one event with its fields, if its level is enabled.
 
     Args:
-        event: Which event.
-        fields: Values in the order they should be read.
+        event: The event.
+        fields: Fields of the line, in their order.
     """
     definition = event.value
     if _LEVEL_NUMBERS[definition.level] < _minimum_level:
--- a/src/crowsill/platform_ports.py
+++ b/src/crowsill/platform_ports.py
@@ -1,7 +1,7 @@
-"""The ports through which outside systems are spoken to, with the product's own defaults.
+"""Interfaces to outside systems, with the product's own defaults.
 
-A deployment on a platform with a dialect of its own passes other implementations to `run_daemon`;
-nothing else in the product knows that dialect.
+A deployment on a platform with its own protocols passes other implementations to `run_daemon`.
+Nothing else in the product depends on those protocols.
 """
 
 from collections.abc import Callable
@@ -16,8 +16,8 @@
     from crowsill.control.registrations import Registrations
 
 
-def _own_registration_application(registrations: "Registrations") -> Any:  # noqa: ANN401
-    # Imported late: the entry and gateway roles do without the control members' HTTP interface.
+def _default_registration_application(registrations: "Registrations") -> Any:  # noqa: ANN401
+    # Imported late because the entry and gateway roles do not need the HTTP API of control members.
     from crowsill.api.registrations import registration_application
 
     return registration_application(registrations)
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformPorts:
-    """How a daemon speaks to callers, replicas and operators of routes.
+    """Interfaces of a daemon to callers, replicas and operators of routes.
 
     Attributes:
-        header_names: Headers of requests and answers.
-        codec: Reads route documents.
-        registration_application: Makes the ASGI application for replicas that register
+        header_names: Header names of requests and responses.
+        codec: Decodes route documents.
+        registration_application: Creates the ASGI application for replicas that register
             themselves and for operators of routes.
-        engine_calls: Makes the port to registered engines; None where no models are placed.
+        engine_calls: Creates the client for registered engines; None if no models are placed.
     """
 
     header_names: HeaderNames = field(default_factory=HeaderNames)
     codec: RouteCodec = field(default_factory=JsonRouteCodec)
-    registration_application: Callable[["Registrations"], Any] = _own_registration_application
+    registration_application: Callable[["Registrations"], Any] = _default_registration_application
     engine_calls: Callable[[], EngineCalls] | None = None
--- a/src/crowsill/settings.py
+++ b/src/crowsill/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: one TOML file, checked as a whole before anything starts."""
+"""The daemon's settings: one TOML file, validated completely before any role starts."""
 
 import ipaddress
 import tomllib
@@ -15,21 +15,21 @@
 
 
 class Address(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: Port
 
 
 class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Files of a TLS listener, in PEM form."""
+    """Files of a TLS listener, in PEM format."""
 
     certificate: str
     private_key: str
 
 
 class HttpListener(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An HTTP listener; port 0 lets the system choose."""
+    """An HTTP listener; with port 0 the operating system chooses the port."""
 
     host: str
     port: Port
@@ -37,7 +37,7 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One control member as the others reach it."""
+    """Name of a control member, and the address at which other members reach it."""
 
     name: NodeName
     host: str
@@ -49,44 +49,44 @@
 
     Attributes:
         data_folder: The folder for durable files; created if missing. Empty on a machine without a
-            disk: the process then never votes and points callers at the members.
+            disk: the process then never votes and redirects callers to the members.
         listen: Address for other crowsill processes.
         operators: HTTP listener for operators.
         operator_token_sha256: SHA-256 of each operator token.
-        initial_members: Members of a new group; ignored once the data folder holds a state.
+        initial_members: Members of a new group; ignored once the data folder has a state.
         platform_list: `IP:port` of the platform's list of machines.
-        weight_store_loads_per_s: Loads the weight store starts a second.
-        weight_store_concurrent: Loads the weight store serves at once.
-        longest_order_delay_s: After this time an order sent to a back end has arrived or never
-            will; back ends that do not check fences are waited for so long.
-        longest_report_lag_s: A back end's report is never older than this.
+        weight_store_loads_per_s: Maximum rate of loads from the weight store, per second.
+        weight_store_concurrent: Maximum number of concurrent loads from the weight store.
+        longest_order_delay_s: Time after which an order sent to a back end has arrived or is lost.
+            Placement waits this long for back ends that do not check fences.
+        longest_report_lag_s: Maximum age of a back end's report.
         tick_s: Length of one consensus tick.
         election_ticks: Ticks without a leader before an election.
-        seeds: Control members to form a group with or to join, as other processes reach them; in
-            place of `initial_members`.
-        bootstrap: Whether this is the first start of a whole new system, so that the seeds form
-            a group.
-        tolerated_losses: Disks that may be lost at once; a group formed from seeds grows to
-            `2 x tolerated_losses + 1` voters.
+        seeds: Addresses at which other processes reach the control members to form a group with or
+            to join; replaces `initial_members`.
+        bootstrap: Whether this is the first start of a new system, so that the seeds form a group.
+        tolerated_losses: Disks that may be lost at the same time; a group formed from seeds grows
+            to `2 x tolerated_losses + 1` voters.
         registrations: HTTP listener for replicas that register themselves and for operators of
             routes.
-        replica_heartbeat_s: Time between two heartbeats of a replica that registers itself.
+        replica_heartbeat_s: Interval of the heartbeats of a replica that registers itself.
         store_window_s: Window in which loads from the weight store are counted.
         store_burst: Loads beyond the store's rate in one window.
-        order_lease_s: A new leader gives no order to a replica for so long, unless replicas check
+        order_lease_s: Time during which a new leader sends no orders to replicas, unless they check
             fences.
-        replicas_check_fences: Whether replicas refuse the orders of a former leader once a newer
-            one has spoken, so that nothing is to be waited for.
-        rare_model_turns: Share of the engines that may be loading models in turn that are asked for
-            seldom, whatever that costs the others; 0 for no turns. With turns at 0.34, gateways
-            that keep asking for 8 s and copies that stay for 10 s until they are used, the mean
-            worth of 12 days of high load on a site of 6 engines was 0.597, without all three 0.655;
-            of 12 days of another site 0.540 and 0.576. Each alone changed less than its error.
-        quota_window_s: Sliding window in which what a tenant uses is counted.
+        replicas_check_fences: Whether replicas reject orders of a former leader after the first
+            order of a newer one, so that a new leader need not wait.
+        rare_model_turns: Share of the engines that may load rarely requested models in turn,
+            regardless of the cost to other models; 0 disables turns. With 0.34, `keep_asking_s` of
+            8 s and copies kept unused for up to 10 s, the mean score of days with high load fell
+            from 0.655 to 0.597, and from 0.576 to 0.540 in another deployment. The effect of each
+            alone was below the measurement error.
+        quota_window_s: Sliding window in which the usage of a tenant is counted.
         quota_tolerance: Share by which a tenant may exceed its rate and burst in a window.
-        quota_slack: Units that it may use beyond that.
-        quarantine_s: Time after the last end of a replica under a request after which that counts
-            no more. Each time, three more replicas may end under a request that still does it.
+        quota_slack: Units that a tenant may use beyond that.
+        quarantine_s: Time after the last crash of a replica under a request after which its crashes
+            no longer count. A request that still crashes replicas may then crash three more each
+            time.
     """
 
     data_folder: str
@@ -118,7 +118,7 @@
 
     @property
     def target_voters(self) -> int | None:
-        """Voters that a group formed from seeds grows to; None where members are listed."""
+        """Number of voters that a group formed from seeds grows to; None without seeds."""
         return 2 * self.tolerated_losses + 1 if self.seeds else None
 
 
@@ -128,12 +128,12 @@
     Attributes:
         callers: HTTP listener for callers.
         control_members: Control members to follow, tried in random order.
-        readiness_lag_s: How long the balancer may take to notice that readiness is gone.
-        drain_limit_s: Longest wait for requests in flight at a planned stop.
-        max_queued: Requests that may wait in this process.
-        max_body_bytes: Largest accepted request body.
+        readiness_lag_s: Time the load balancer may need to notice that the entry is not ready.
+        drain_limit_s: Maximum wait for requests in flight at a planned stop.
+        max_queued: Maximum number of requests that wait in this process.
+        max_body_bytes: Maximum size of a request body.
         retry_budget_ratio: Retries allowed per first attempt.
-        urgent_headroom: Share of each replica's slots that patient work leaves free.
+        urgent_headroom: Share of each replica's slots that is reserved for urgent requests.
     """
 
     callers: HttpListener
@@ -147,22 +147,22 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The gateway role: plain HTTP requests passed on to registered replicas.
+    """The gateway role: forwards plain HTTP requests to registered replicas.
 
     Attributes:
         callers: Listener for callers.
-        ready: Listener for the balancer's question and for metrics.
-        control_seeds: Control members to follow first; others become known from them.
-        readiness_lag_s: How long the balancer may take to notice that readiness is gone.
-        grace_s: Time from the order to stop to the end of the process.
-        retry_ratio: Repeats for each request, over all gateways together.
-        retry_window_s: Length of the window in which repeats are counted.
-        retry_allowance: Repeats beyond the ratio in a window, over all gateways together.
-        key_revocation_s: Time after the acknowledgement of its removal after which a key runs
-            nothing, also at a gateway that is out of touch; 0 for no bound.
-        keep_asking_s: How long a gateway asks for the model that a refused caller lacked: it may be
-            loaded for those who come back, in place of what others wait for. 0 for not at all; see
-            `ControlSettings.rare_model_turns`.
+        ready: Listener for readiness checks of the load balancer and for metrics.
+        control_seeds: Control members to follow first; they report the others.
+        readiness_lag_s: Time the load balancer may need to notice that the gateway is not ready.
+        grace_s: Time from the stop signal to the end of the process.
+        retry_ratio: Retries per request, over all gateways together.
+        retry_window_s: Length of the window in which retries are counted.
+        retry_allowance: Retries beyond the ratio in a window, over all gateways together.
+        key_revocation_s: Time after which no gateway accepts a key whose removal was acknowledged,
+            even if it is disconnected from the control group; 0 for no bound.
+        keep_asking_s: Time for which a gateway keeps reporting demand for the model that a rejected
+            caller was missing. It may then be loaded for callers that retry, in place of models
+            that others wait for. 0 disables this; see `ControlSettings.rare_model_turns`.
     """
 
     callers: Address
@@ -182,10 +182,10 @@
 
     Attributes:
         node: Unique name of the process.
-        zone: Site it stands in.
-        cluster_key_file: File whose content every process of the system shares; empty on a
+        zone: Site where the process runs.
+        cluster_key_file: File with the key that all processes of the system share; empty on a
             network that only the system's own machines reach.
-        log_level: Lowest level written.
+        log_level: Minimum level of logged events.
         control: Present when the process has the control role.
         entry: Present when the process has the entry role.
         gateway: Present when the process has the gateway role.
@@ -237,7 +237,7 @@
 
 
 def settings_fault(settings: Settings) -> str | None:
-    """Return the first fault that no single field shows, or None."""
+    """Return the first error that validation of single fields does not find, or None."""
     if settings.control is None and settings.entry is None and settings.gateway is None:
         return "at least one of the tables [control], [entry] and [gateway] is needed"
     for path, host in _hosts(settings):
@@ -252,7 +252,7 @@
 
 def _control_fault(control: ControlSettings) -> str | None:
     if not control.data_folder and not control.seeds:
-        return "control: without data_folder, seeds are needed: the process only points at members"
+        return "control: without data_folder, seeds are needed: the process only redirects callers"
     if control.seeds and control.initial_members:
         return "control: seeds and initial_members exclude each other"
     names = [member.name for member in control.initial_members]
@@ -266,10 +266,10 @@
 
     Args:
         text: Content of the file.
-        file_name: Named in the error.
+        file_name: Name of the file, for the error message.
 
     Returns:
-        The settings, or one line that names file, key and what is wrong.
+        The settings, or one line with the file, the key and the error.
 
     >>> parse_settings("node = 3", "crowsilld.toml").failure()
     'crowsilld.toml: Expected `str`, got `int` - at `$.node`'
--- a/src/crowsill/tokens.py
+++ b/src/crowsill/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens, which are only ever held and compared as SHA-256 digests."""
+"""Bearer tokens, which are stored and compared only as SHA-256 digests."""
 
 import hashlib
 
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -36,7 +36,7 @@
     for _ in range(2000):
         writer.write(line)
     assert time.monotonic() - started_s < 1.0
-    assert writer.left_out >= 1500
+    assert writer.dropped_lines >= 1500
     # It reads again: what was kept comes out, and how much was not.
     reader = threading.Thread(target=lambda: found.append(read_until(reading, b"left out")))
     found: list[bytes] = []
@@ -46,12 +46,12 @@
     # Once the writer has noticed that all is out, it takes lines again. A line written in the
     # moment before that may still be left out: this test once waited for such a line for ever.
     deadline_s = time.monotonic() + 5.0
-    before = writer.left_out
+    before = writer.dropped_lines
     writer.write("after\n")
-    while writer.left_out != before:
+    while writer.dropped_lines != before:
         assert time.monotonic() < deadline_s
         time.sleep(0.01)
-        before = writer.left_out
+        before = writer.dropped_lines
         writer.write("after\n")
     assert b"after" in read_until(reading, b"after\n")
     writer.close()
@@ -73,7 +73,7 @@
     # the writer was closed while its thread wrote out a batch, and the thread looked no further.
     reader, descriptor = os.pipe()
     writer = LogWriter(descriptor)
-    write_out = writer._write_out
+    write_out = writer._write_all
 
     def closed_meanwhile(text):
         write_out(text)
@@ -81,7 +81,7 @@
             writer.write("last\n")
             writer._closing = True
 
-    monkeypatch.setattr(writer, "_write_out", closed_meanwhile)
+    monkeypatch.setattr(writer, "_write_all", closed_meanwhile)
     writer.write("first\n")
     writer._thread.join(5.0)
     writer.close()
