--- a/src/crowsill/api/callers.py
+++ b/src/crowsill/api/callers.py
@@ -28,7 +28,7 @@
 from crowsill.errors import ErrorKind, Problem
 from crowsill.pipeline.authenticate import authenticate
 from crowsill.pipeline.classify import MODEL_PATHS
-from crowsill.pipeline.incoming import Answer, IncomingRequest, StreamedAnswer
+from crowsill.pipeline.incoming import IncomingRequest, PipelineResponse, StreamedResponse
 from crowsill.pipeline.pipeline import Pipeline
 
 SCOPE_RECEIVE = "crowsill.receive"
@@ -123,7 +123,7 @@
 
 
 def _watch_departure(
-    request: falcon.asgi.Request, serving: asyncio.Task[Result[Answer, Problem]]
+    request: falcon.asgi.Request, serving: asyncio.Task[Result[PipelineResponse, Problem]]
 ) -> asyncio.Task[None]:
     """Cancel a request when its caller leaves; an unsafe run goes on inside the pipeline."""
     receive = request.scope[SCOPE_RECEIVE]
@@ -182,13 +182,13 @@
 def _answer(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
-    answer: Answer,
+    answer: PipelineResponse,
     request_id: str,
 ) -> None:
     response.status = answer.status
     response.content_type = answer.content_type
     response.set_header(HEADER_REQUEST_ID, request_id)
-    if isinstance(answer, StreamedAnswer):
+    if isinstance(answer, StreamedResponse):
         response.stream = _until_departure(request, answer.chunks)
         return
     response.data = answer.body
--- a/src/crowsill/entry/role.py
+++ b/src/crowsill/entry/role.py
@@ -78,7 +78,7 @@
         self._calls = HttpCalls()
         self._cache = HttpCache()
         watch = CacheWatch(self._cache, self._follower.fleet, self._selector.hints)
-        self._admission.on_placed = watch.used
+        self._admission.on_slot_granted = watch.used
         filters = Filters(
             self._admission,
             Deduplicator(self._leader_client, self._incarnation),
@@ -116,7 +116,7 @@
     def _on_configuration(self, configuration: Configuration) -> None:
         if self._pipeline is not None:
             self._pipeline.table = RoutingTable(configuration)
-        self._admission.forget_rates()
+        self._admission.reset_rate_limits()
 
     def _on_fleet(self, delta: FleetDelta) -> None:
         for replica_id in delta.removed:
@@ -131,7 +131,7 @@
                 loads.reported(name, update.in_flight)
         if delta.changed or delta.removed:
             self._candidates.rebuild(self._follower.fleet)
-        self._admission.place_waiting()
+        self._admission.dispatch_waiting()
 
     def _on_entries(self, entries: int) -> None:
         self._selector.entries = entries
@@ -146,19 +146,19 @@
             False when the limit passed with requests in flight.
         """
         self._stopping = True
-        log_event(Event.DRAIN_STARTED, in_flight=self._unfinished())
+        log_event(Event.DRAIN_STARTED, in_flight=self._unfinished_count())
         await asyncio.sleep(self._entry.readiness_lag_s)
         if self._server is not None:
             self._server.stop_accepting()
         deadline_s = monotonic_s() + self._entry.drain_limit_s
-        while self._unfinished() and monotonic_s() < deadline_s:
+        while self._unfinished_count() and monotonic_s() < deadline_s:
             await asyncio.sleep(DRAIN_POLL_S)
-        finished = self._unfinished() == 0
+        finished = self._unfinished_count() == 0
         log_event(Event.DRAIN_FINISHED if finished else Event.DRAIN_LIMIT)
         return finished
 
-    def _unfinished(self) -> int:
-        return self._pipeline.unfinished if self._pipeline is not None else 0
+    def _unfinished_count(self) -> int:
+        return self._pipeline.unfinished_count if self._pipeline is not None else 0
 
     async def stop(self) -> None:
         """Release everything."""
--- a/src/crowsill/pipeline/__init__.py
+++ b/src/crowsill/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""The request path, one filter a module."""
+"""The request path of an entry; each module is one filter."""
--- a/src/crowsill/pipeline/authenticate.py
+++ b/src/crowsill/pipeline/authenticate.py
@@ -1,4 +1,4 @@
-"""Filter: who is calling."""
+"""Filter for authentication: finds the tenant that sends a request."""
 
 from returns.result import Failure, Result, Success
 
@@ -6,10 +6,10 @@
 from crowsill.pipeline.incoming import IncomingRequest
 from crowsill.pipeline.routing_table import RoutingTable, TenantRoutes
 
-_REFUSED = Problem(ErrorKind.UNAUTHENTICATED, "a known bearer token is required")
+_UNKNOWN_TOKEN = Problem(ErrorKind.UNAUTHENTICATED, "a known bearer token is required")
 
 
 def authenticate(request: IncomingRequest, table: RoutingTable) -> Result[TenantRoutes, Problem]:
-    """Find the tenant of the bearer token."""
+    """Return the routes of the tenant that the bearer token belongs to."""
     owner = table.key_ring.owner([request.authorization.encode("latin-1", "replace")])
-    return Failure(_REFUSED) if owner is None else Success(table.tenants[owner])
+    return Failure(_UNKNOWN_TOKEN) if owner is None else Success(table.tenants[owner])
--- a/src/crowsill/pipeline/classify.py
+++ b/src/crowsill/pipeline/classify.py
@@ -1,4 +1,7 @@
-"""Filter: what is asked for, how urgently, until when, and whether it may be repeated."""
+"""Filter for classification: resource, urgency and deadline of a request, and whether it is unsafe.
+
+An unsafe request must run at most once.
+"""
 
 from typing import Any
 
@@ -26,7 +29,7 @@
 
 
 class _CompletionBody(msgspec.Struct):
-    """The fields of a completion request that routing needs; the rest passes unread."""
+    """The fields of a completion request that routing needs; other fields are not decoded."""
 
     model: str
     stream: bool = False
@@ -48,8 +51,8 @@
 
     Args:
         request: The request.
-        routes: What the tenant may use.
-        now_s: Monotonic clock of its arrival.
+        routes: Routes of the tenant.
+        now_s: Monotonic time of its arrival in seconds.
     """
     if request.path.startswith(PATH_SERVICES):
         return _classify_service(request, routes, now_s)
@@ -67,7 +70,7 @@
     if route is None:
         detail = f"tenant {routes.tenant} has no model {body.model[:MAX_IDENTIFIER_LENGTH]!r}"
         return Failure(Problem(ErrorKind.UNKNOWN_MODEL, detail))
-    classified = _common(request, routes, route, now_s)
+    classified = _classify_common(request, routes, route, now_s)
     if not isinstance(classified, Success):
         return classified
     result = classified.unwrap()
@@ -80,7 +83,7 @@
 
 def _parse_completion(request: IncomingRequest) -> Result[_CompletionBody, Problem]:
     if request.method != "POST":
-        return _invalid("completions are asked for with POST")
+        return _invalid("completions require the method POST")
     try:
         body = _completion_decoder.decode(request.body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -93,36 +96,36 @@
 def _classify_service(
     request: IncomingRequest, routes: TenantRoutes, now_s: float
 ) -> Result[ClassifiedRequest, Problem]:
-    name, _, rest = request.path[len(PATH_SERVICES) :].partition("/")
+    name, _, subpath = request.path[len(PATH_SERVICES) :].partition("/")
     route = routes.services.get(name)
     if route is None:
         detail = f"tenant {routes.tenant} has no service {name[:MAX_IDENTIFIER_LENGTH]!r}"
         return Failure(Problem(ErrorKind.UNKNOWN_SERVICE, detail))
-    classified = _common(request, routes, route, now_s)
+    classified = _classify_common(request, routes, route, now_s)
     if not isinstance(classified, Success):
         return classified
     result = classified.unwrap()
     result.target = RequestTarget.SERVICE
-    result.path = f"/{rest}?{request.query}" if request.query else f"/{rest}"
+    result.path = f"/{subpath}?{request.query}" if request.query else f"/{subpath}"
     return classified
 
 
-def _common(
+def _classify_common(
     request: IncomingRequest, routes: TenantRoutes, route: Route, now_s: float
 ) -> Result[ClassifiedRequest, Problem]:
     traffic_class = route.traffic_class
     deadline_ms = _deadline_ms(request, traffic_class.deadline_ms)
     if deadline_ms is None:
-        limit = f"a whole number from 1 to {MAX_DEADLINE_MS}"
+        limit = f"an integer from 1 to {MAX_DEADLINE_MS}"
         return _invalid(f"{HEADER_DEADLINE_MS}: must be {limit}")
     urgency = _urgency(request, traffic_class.urgency)
     if urgency is None:
         known = " or ".join(Urgency)
-        return _invalid(f"{HEADER_URGENCY}: must be {known}, and may not raise the class's")
+        return _invalid(f"{HEADER_URGENCY}: must be {known}, and not above the traffic class")
     unsafe = route.unsafe or request.unsafe
-    fault = _key_fault(request.idempotency_key, unsafe)
-    if fault is not None:
-        return Failure(fault)
+    key_problem = _idempotency_key_problem(request.idempotency_key, unsafe)
+    if key_problem is not None:
+        return Failure(key_problem)
     return Success(
         ClassifiedRequest(
             request_id=request.request_id,
@@ -145,31 +148,31 @@
 
 
 def _deadline_ms(request: IncomingRequest, class_deadline_ms: int) -> int | None:
-    """The tighter of the caller's and the class's deadline; None for a bad header."""
+    """Return the shorter of the caller's and the class's deadline; None if invalid."""
     text = request.deadline_ms
     if text is None:
         return class_deadline_ms
     if not (text.isascii() and text.isdigit() and len(text) <= 9):
         return None
-    asked_ms = int(text)
-    if not 1 <= asked_ms <= MAX_DEADLINE_MS:
+    requested_ms = int(text)
+    if not 1 <= requested_ms <= MAX_DEADLINE_MS:
         return None
-    return min(asked_ms, class_deadline_ms)
+    return min(requested_ms, class_deadline_ms)
 
 
 def _urgency(request: IncomingRequest, class_urgency: Urgency) -> Urgency | None:
-    """The urgency asked for, unless it would raise the class's; None for a bad header."""
+    """Return the requested urgency, by default the class's; None if invalid or above the class."""
     if request.urgency is None:
         return class_urgency
     if request.urgency not in tuple(Urgency):
         return None
-    asked = Urgency(request.urgency)
-    if asked is Urgency.URGENT and class_urgency is Urgency.PATIENT:
+    requested = Urgency(request.urgency)
+    if requested is Urgency.URGENT and class_urgency is Urgency.PATIENT:
         return None
-    return asked
+    return requested
 
 
-def _key_fault(key: str | None, unsafe: bool) -> Problem | None:
+def _idempotency_key_problem(key: str | None, unsafe: bool) -> Problem | None:
     if not unsafe:
         return None
     if not key:
--- a/src/crowsill/pipeline/deduplicate.py
+++ b/src/crowsill/pipeline/deduplicate.py
@@ -1,4 +1,4 @@
-"""Filter: an unsafe request runs only under a claim that a majority has agreed on."""
+"""Filter for deduplication: an unsafe request runs only under a claim that a majority committed."""
 
 import asyncio
 import uuid
@@ -13,7 +13,7 @@
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.model.request import ClassifiedRequest
-from crowsill.pipeline.incoming import WholeAnswer
+from crowsill.pipeline.incoming import CompleteResponse
 from crowsill.state.commands import (
     ClaimDecision,
     ClaimKey,
@@ -27,11 +27,11 @@
 
 CLAIM_TIMEOUT_S = 5.0
 SETTLE_TIMEOUT_S = 60.0
-TIMED_UUID_VERSION = 7
-# Callers' clocks may be wrong by so much.
-CLOCK_MARGIN_S = 3600.0
+TIMESTAMP_UUID_VERSION = 7
+# Maximum error of callers' clocks that is tolerated.
+MAX_CLOCK_ERROR_S = 3600.0
 
-_PROBLEMS = {
+_PROBLEM_BY_DECISION = {
     ClaimDecision.IN_PROGRESS: Problem(
         ErrorKind.KEY_IN_PROGRESS, "an earlier attempt with this key is still running"
     ),
@@ -44,40 +44,42 @@
 }
 
 
-def key_made_s(key: str) -> float | None:
-    """Return when a key was made, if it is a UUID of version 7, which carries its time.
+def key_creation_wall_s(key: str) -> float | None:
+    """Return the Unix time at which a key was created, or None.
 
-    >>> key_made_s("0190163d-8694-739b-aea5-966c26f8ad91")
+    Only a UUID of version 7 carries its creation time.
+
+    >>> key_creation_wall_s("0190163d-8694-739b-aea5-966c26f8ad91")
     1718360049.3
-    >>> key_made_s("stop-4711") is None
+    >>> key_creation_wall_s("stop-4711") is None
     True
     """
     try:
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    return (parsed.int >> 80) / 1000 if parsed.version == TIMED_UUID_VERSION else None
+    return (parsed.int >> 80) / 1000 if parsed.version == TIMESTAMP_UUID_VERSION else None
 
 
-def _expired(key: str) -> Problem | None:
-    """Refuse a key that may be older than what the claims remember."""
-    made_s = key_made_s(key)
-    if made_s is None or wall_s() - made_s < CLAIM_RETENTION_S - CLOCK_MARGIN_S:
+def _expired_key_problem(key: str) -> Problem | None:
+    """Return a problem if a key may be older than the retention of claims."""
+    created_wall_s = key_creation_wall_s(key)
+    if created_wall_s is None or wall_s() - created_wall_s < CLAIM_RETENTION_S - MAX_CLOCK_ERROR_S:
         return None
     days = CLAIM_RETENTION_S / 86400
-    detail = f"this key is older than the {days:g} days that keys are remembered; it is not run"
+    detail = f"the key is older than the retention of {days:g} days; this attempt was not run"
     return Problem(ErrorKind.KEY_EXPIRED, detail)
 
 
 class ClaimSubmitter(Protocol):
-    """Has commands committed by the control members."""
+    """Submits commands to the control members."""
 
     async def submit(self, request: SubmitCommand, deadline_s: float) -> Result[Submitted, Problem]:
-        """Commit a command."""
+        """Submit a command and wait until it is committed."""
 
 
 class ClaimHandle:
-    """The right to run one unsafe request, and the duty to say how it ended."""
+    """A granted claim: it permits one run of an unsafe request and must be settled afterwards."""
 
     def __init__(self, key: ClaimKey, attempt: str) -> None:
         self.key = key
@@ -93,28 +95,30 @@
     """Opens and settles claims for one entry."""
 
     def __init__(self, submitter: ClaimSubmitter, holder: str) -> None:
-        """Make the filter.
+        """Create the filter.
 
         Args:
-            submitter: Has commands committed.
+            submitter: Submits commands to the control members.
             holder: Incarnation of this entry.
         """
         self._submitter = submitter
         self._holder = holder
-        self._settling: set[asyncio.Task[None]] = set()
+        self._settlement_tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def unsettled(self) -> int:
-        """Settlements that are not committed yet."""
-        return len(self._settling)
+    def unsettled_count(self) -> int:
+        """Number of settlements that are not committed yet."""
+        return len(self._settlement_tasks)
 
-    async def claim(self, request: ClassifiedRequest) -> Result[ClaimHandle | WholeAnswer, Problem]:
+    async def claim(
+        self, request: ClassifiedRequest
+    ) -> Result[ClaimHandle | CompleteResponse, Problem]:
         """Claim an unsafe request.
 
         Returns:
-            A handle when it may run now, or the recorded answer of an earlier attempt.
+            A handle if the request may run now, or the recorded response of an earlier attempt.
         """
-        expired = _expired(request.idempotency_key or "")
+        expired = _expired_key_problem(request.idempotency_key or "")
         if expired is not None:
             return Failure(expired)
         key = ClaimKey(request.tenant, request.resource, request.idempotency_key or "")
@@ -123,10 +127,10 @@
         deadline_s = min(request.deadline_at_s, monotonic_s() + CLAIM_TIMEOUT_S)
         reply = await self._submitter.submit(SubmitCommand(command), deadline_s)
         if not isinstance(reply, Success):
-            # The claim may have been committed all the same; release it once that is possible,
-            # so that a resend is not told for good that this attempt is running.
+            # The claim may have been committed nevertheless. Release it as soon as possible;
+            # otherwise every later resend would be rejected as in progress.
             self.settle(ClaimHandle(key, attempt), ClaimSettlement.NOT_RUN, None)
-            detail = "no majority can say whether this key was used; this attempt was not run"
+            detail = "no majority confirmed whether the key was used; this attempt was not run"
             return Failure(Problem(ErrorKind.CLAIMS_UNAVAILABLE, detail))
         result = reply.unwrap().result
         if not isinstance(result, ClaimResult):
@@ -134,31 +138,33 @@
         if result.decision is ClaimDecision.GRANTED:
             return Success(ClaimHandle(key, attempt))
         if result.decision is ClaimDecision.ANSWERED and result.response is not None:
-            answer = result.response
-            return Success(WholeAnswer(answer.status, answer.content_type, answer.body, True))
-        return Failure(_PROBLEMS[result.decision])
-
-    def settle_answer(self, handle: ClaimHandle, answer: WholeAnswer) -> None:
-        """Record the answer of a claimed request; one that is too large is not kept."""
+            recorded = result.response
+            return Success(
+                CompleteResponse(recorded.status, recorded.content_type, recorded.body, True)
+            )
+        return Failure(_PROBLEM_BY_DECISION[result.decision])
+
+    def settle_response(self, handle: ClaimHandle, response: CompleteResponse) -> None:
+        """Settle a claim as answered; the response is recorded unless it is too large."""
         recorded = None
-        if len(answer.body) <= MAX_RECORDED_BODY_BYTES:
-            recorded = RecordedResponse(answer.status, answer.content_type, answer.body)
+        if len(response.body) <= MAX_RECORDED_BODY_BYTES:
+            recorded = RecordedResponse(response.status, response.content_type, response.body)
         self.settle(handle, ClaimSettlement.ANSWERED, recorded)
 
     def settle_problem(self, handle: ClaimHandle, problem: Problem) -> None:
-        """Record that a claimed request was not run, or that nobody knows."""
+        """Settle a claim as not run, or as unknown if the request may have run."""
         not_run = problem.answer.outcome is Outcome.NOT_RUN
         settlement = ClaimSettlement.NOT_RUN if not_run else ClaimSettlement.UNKNOWN
         self.settle(handle, settlement, None)
 
     def settle(
-        self, handle: ClaimHandle, settlement: ClaimSettlement, answer: RecordedResponse | None
+        self, handle: ClaimHandle, settlement: ClaimSettlement, response: RecordedResponse | None
     ) -> None:
-        """Settle in the background, for as long as it takes within a bound."""
-        command = SettleClaim(handle.key, handle.attempt, settlement, answer, 0.0)
+        """Settle a claim in the background; give up after `SETTLE_TIMEOUT_S`."""
+        command = SettleClaim(handle.key, handle.attempt, settlement, response, 0.0)
         task = asyncio.create_task(self._settle(command))
-        self._settling.add(task)
-        task.add_done_callback(self._settling.discard)
+        self._settlement_tasks.add(task)
+        task.add_done_callback(self._settlement_tasks.discard)
 
     async def _settle(self, command: SettleClaim) -> None:
         deadline_s = monotonic_s() + SETTLE_TIMEOUT_S
--- a/src/crowsill/pipeline/dispatch.py
+++ b/src/crowsill/pipeline/dispatch.py
@@ -1,7 +1,7 @@
-"""Filter: sends an admitted request, and to another replica where that is safe.
+"""Filter for dispatch: sends an admitted request to a replica, and retries it if that is safe.
 
-A request goes on to another replica only if the last one cannot have run it, or if it is safe to
-repeat and nothing of an answer has been relayed. Every further try is paid from a retry budget.
+A request is retried only if the last replica can't have run it, or if it is safe to repeat and no
+part of a response was relayed. Every retry spends a token of the retry budget.
 """
 
 import asyncio
@@ -21,15 +21,16 @@
 from crowsill.routing.retry_budget import RetryBudget
 
 MAX_ATTEMPTS = 4
-# A replica that says what is true of it now has not failed.
-_HEALTHY_REFUSALS = (RefusalReason.NOT_HERE, RefusalReason.LEAVING, RefusalReason.FULL)
+# A replica that rejects a request for one of these reasons works as expected, so the rejection
+# does not count as a failure for its circuit breaker.
+_HEALTHY_REJECTIONS = (RefusalReason.NOT_HERE, RefusalReason.LEAVING, RefusalReason.FULL)
 
 
 @dataclass(frozen=True, slots=True)
-class DispatchedAnswer:
-    """An answer whose head has arrived, with the slot it holds."""
+class DispatchedResponse:
+    """A response whose head has been received, with the slot that it occupies."""
 
-    answer: BackendAnswer
+    response: BackendAnswer
     slot: Slot
 
 
@@ -43,24 +44,24 @@
 
     async def dispatch(
         self, request: ClassifiedRequest, routes: TenantRoutes
-    ) -> Result[DispatchedAnswer, Problem]:
-        """Get the head of an answer from some replica."""
+    ) -> Result[DispatchedResponse, Problem]:
+        """Send a request until a replica responds; return the response with its body unread."""
         self._budget.earn()
         excluded: frozenset[str] = frozenset()
-        maybe_run = False
+        may_have_run = False
         for attempt in range(1, MAX_ATTEMPTS + 1):
             admitted = await self._admission.admit(request, routes, excluded)
             if not isinstance(admitted, Success):
-                return Failure(_honest(admitted.failure(), maybe_run))
+                return Failure(_correct_outcome(admitted.failure(), may_have_run))
             slot = admitted.unwrap()
             _log_routed(request, slot, attempt)
             sent = await self._send(request, slot)
             if isinstance(sent, Success):
                 return sent
             failure = sent.failure()
-            maybe_run = maybe_run or failure.outcome is Outcome.UNKNOWN
+            may_have_run = may_have_run or failure.outcome is Outcome.UNKNOWN
             replica_id = slot.selection.replica.description.replica_id
-            excluded = self._learn(request, slot, failure, excluded)
+            excluded = self._note_failure(request, slot, failure, excluded)
             if not self._may_retry(request, failure, attempt):
                 break
             log_event(
@@ -70,11 +71,11 @@
                 reason=failure.reason,
                 outcome=failure.outcome,
             )
-        return Failure(_honest(_problem_of(failure), maybe_run))
+        return Failure(_correct_outcome(_problem_of(failure), may_have_run))
 
     async def _send(
         self, request: ClassifiedRequest, slot: Slot
-    ) -> Result[DispatchedAnswer, CallFailure]:
+    ) -> Result[DispatchedResponse, CallFailure]:
         timeout_s = max(0.001, request.deadline_at_s - monotonic_s())
         replica = slot.selection.replica.description
         try:
@@ -87,17 +88,18 @@
             raise
         if isinstance(sent, Success):
             UPSTREAM_ATTEMPTS.labels("answered").inc()
-            return Success(DispatchedAnswer(sent.unwrap(), slot))
+            return Success(DispatchedResponse(sent.unwrap(), slot))
         failure = sent.failure()
         UPSTREAM_ATTEMPTS.labels(failure.reason).inc()
         if failure.rest_s > 0.0:
-            # Before the slot is given back: what waits would take it into the rest.
-            rest_until_s = monotonic_s() + failure.rest_s
-            self._admission.selector.note_backoff(slot.selection.replica, rest_until_s)
-        self._admission.release(slot, succeeded=failure.reason in _HEALTHY_REFUSALS)
+            # Recorded before the slot is released; otherwise a waiting request would get the slot
+            # during the backoff.
+            backoff_ends_at_s = monotonic_s() + failure.rest_s
+            self._admission.selector.note_backoff(slot.selection.replica, backoff_ends_at_s)
+        self._admission.release(slot, succeeded=failure.reason in _HEALTHY_REJECTIONS)
         return Failure(failure)
 
-    def _learn(
+    def _note_failure(
         self,
         request: ClassifiedRequest,
         slot: Slot,
@@ -114,7 +116,7 @@
             candidates.note_draining(state)
             return excluded
         others = self._admission.replicas_for(request, excluded | {replica_id})
-        # With no other replica left, the same one may be tried again.
+        # If no other replica is left, the same ones may be tried again.
         return excluded | {replica_id} if others else frozenset()
 
     def _may_retry(self, request: ClassifiedRequest, failure: CallFailure, attempt: int) -> bool:
@@ -136,7 +138,7 @@
         replica=selection.replica.description.replica_id,
         reason=selection.reason,
         candidates=selection.candidates,
-        waited_ms=round((slot.started_s - request.arrived_at_s) * 1000, 1),
+        waited_ms=round((slot.started_at_s - request.arrived_at_s) * 1000, 1),
         attempt=attempt,
     )
 
@@ -146,12 +148,12 @@
         detail = f"the replica did not run it: {failure.reason}"
         return Problem(ErrorKind.BACKEND_REFUSED, detail)
     if failure.reason is RefusalReason.TIMED_OUT:
-        return Problem(ErrorKind.DEADLINE_EXCEEDED, "no answer before the deadline")
+        return Problem(ErrorKind.DEADLINE_EXCEEDED, "no response before the deadline")
     return Problem(ErrorKind.BACKEND_FAILED, f"the replica failed: {failure.reason}")
 
 
-def _honest(problem: Problem, maybe_run: bool) -> Problem:
-    """Never say "not run" when an earlier try of the same request may have run."""
-    if not maybe_run or problem.answer.outcome is Outcome.UNKNOWN:
+def _correct_outcome(problem: Problem, may_have_run: bool) -> Problem:
+    """Replace the outcome `not_run` by `unknown` if an earlier attempt may have run."""
+    if not may_have_run or problem.answer.outcome is Outcome.UNKNOWN:
         return problem
     return Problem(problem.kind, problem.detail, problem.retry_after_s, Outcome.UNKNOWN)
--- a/src/crowsill/pipeline/incoming.py
+++ b/src/crowsill/pipeline/incoming.py
@@ -1,4 +1,4 @@
-"""What goes into the pipeline and what comes out of it."""
+"""Requests that enter the pipeline and responses that leave it."""
 
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A caller's request as the HTTP layer hands it over.
+    """A caller's request as the HTTP layer received it.
 
     Attributes:
-        request_id: The caller's request id, or a new one.
+        request_id: Unique id, set by the caller or generated.
         method: HTTP method.
         path: Path without the query.
         query: Query string without the question mark.
@@ -19,7 +19,7 @@
         deadline_ms: The deadline header, if present, as sent.
         urgency: The urgency header, if present, as sent.
         unsafe: Whether the caller marked the request as unsafe to repeat.
-        body: The whole body.
+        body: The complete body.
     """
 
     request_id: str
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An answer of which every byte is here.
+class CompleteResponse:
+    """A response whose body has been received completely.
 
     Attributes:
         status: HTTP status.
         content_type: Content type of the body.
         body: The body.
-        replayed: Whether it is the recorded answer of an earlier attempt.
+        replayed: Whether it is the recorded response of an earlier attempt.
     """
 
     status: int
@@ -53,12 +53,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamedAnswer:
-    """An answer that is relayed as it arrives; the iterator raises if it cannot be completed."""
+class StreamedResponse:
+    """A response that is relayed as it arrives; `chunks` raises if it can't be completed."""
 
     status: int
     content_type: str
     chunks: AsyncGenerator[bytes, None]
 
 
-Answer = WholeAnswer | StreamedAnswer
+PipelineResponse = CompleteResponse | StreamedResponse
--- a/src/crowsill/pipeline/relay.py
+++ b/src/crowsill/pipeline/relay.py
@@ -1,8 +1,8 @@
-"""Filter: brings the answer to the caller, whole or visibly broken.
+"""Filter for relaying: passes the response to the caller, complete or with an error.
 
-A whole answer is read to its end before anything is sent on. A stream is relayed chunk by chunk;
-when it breaks, it is resumed at its engine by request id and offset, and if that fails it ends
-with an error, never as if it were complete.
+A response that is not a stream is read completely before any of it is relayed. A stream is relayed
+chunk by chunk. If it breaks, it is resumed at its engine by request id and byte offset; if that
+fails, it ends with an error, so that the caller can't mistake it for complete.
 """
 
 import asyncio
@@ -17,71 +17,71 @@
 from crowsill.logs import log_event
 from crowsill.model.request import ClassifiedRequest
 from crowsill.pipeline.admit import Admission, Slot
-from crowsill.pipeline.dispatch import DispatchedAnswer
-from crowsill.pipeline.incoming import StreamedAnswer, WholeAnswer
+from crowsill.pipeline.dispatch import DispatchedResponse
+from crowsill.pipeline.incoming import CompleteResponse, StreamedResponse
 
 MAX_RESUMES = 3
 RESUME_DELAY_S = 0.05
-MAX_WHOLE_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_COMPLETE_RESPONSE_BYTES = 32 * 1024 * 1024
 
 
 class StreamBrokenError(Exception):
-    """A stream could not be completed; the caller's connection must not end cleanly."""
+    """A stream can't be completed; the caller's connection must not end cleanly."""
 
     kind = ErrorKind.ANSWER_TRUNCATED
 
 
 class Relay:
-    """Relays answers for one entry."""
+    """Relays responses for one entry."""
 
     def __init__(self, admission: Admission, calls: CallPort) -> None:
         self._admission = admission
         self._calls = calls
 
-    async def whole(
-        self, request: ClassifiedRequest, dispatched: DispatchedAnswer
-    ) -> Result[WholeAnswer, Problem]:
-        """Read an answer to its end."""
-        answer, slot = dispatched.answer, dispatched.slot
+    async def read_complete(
+        self, request: ClassifiedRequest, dispatched: DispatchedResponse
+    ) -> Result[CompleteResponse, Problem]:
+        """Read a response to its end."""
+        response, slot = dispatched.response, dispatched.slot
         succeeded: bool | None = None
         try:
             async with asyncio.timeout(max(0.001, request.deadline_at_s - monotonic_s())):
-                body = await _read_all(answer)
+                body = await _read_all(response)
             succeeded = True
-            return Success(WholeAnswer(answer.status, answer.content_type, body))
+            return Success(CompleteResponse(response.status, response.content_type, body))
         except TruncatedAnswerError as error:
             succeeded = False
             return Failure(Problem(ErrorKind.ANSWER_TRUNCATED, str(error)))
         except TimeoutError:
             succeeded = False
-            detail = "the answer was not complete before the deadline"
+            detail = "the response was not complete before the deadline"
             return Failure(Problem(ErrorKind.DEADLINE_EXCEEDED, detail))
         finally:
             if not succeeded:
-                answer.close()
+                response.close()
             self._admission.release(slot, succeeded)
 
-    def streamed(
+    def stream(
         self,
         request: ClassifiedRequest,
-        dispatched: DispatchedAnswer,
+        dispatched: DispatchedResponse,
         on_end: Callable[[bool], None],
-    ) -> StreamedAnswer:
+    ) -> StreamedResponse:
         """Relay a stream as it arrives.
 
         Args:
             request: The request.
-            dispatched: The open answer.
-            on_end: Called once, with whether the stream was complete.
+            dispatched: The response to relay.
+            on_end: Called once at the end, with whether the stream was complete.
         """
-        answer = dispatched.answer
-        chunks = self._chunks(request, answer, dispatched.slot, on_end)
-        return StreamedAnswer(answer.status, answer.content_type, chunks)
+        response = dispatched.response
+        chunks = self._chunks(request, response, dispatched.slot, on_end)
+        return StreamedResponse(response.status, response.content_type, chunks)
 
     async def _chunks(
         self,
         request: ClassifiedRequest,
-        answer: BackendAnswer,
+        response: BackendAnswer,
         slot: Slot,
         on_end: Callable[[bool], None],
     ) -> AsyncGenerator[bytes, None]:
@@ -91,27 +91,27 @@
         try:
             while True:
                 try:
-                    while chunk := await answer.read():
+                    while chunk := await response.read():
                         offset += len(chunk)
                         yield chunk
                     succeeded = True
                     return
                 except TruncatedAnswerError as error:
-                    answer.close()
+                    response.close()
                     resumes += 1
-                    resumed = await self._resume(request, slot, offset, resumes)
-                    if resumed is None:
+                    continuation = await self._resume(request, slot, offset, resumes)
+                    if continuation is None:
                         succeeded = False
                         raise StreamBrokenError(str(error)) from error
-                    answer = resumed
+                    response = continuation
         finally:
             if not succeeded:
-                answer.close()
+                response.close()
             self._admission.release(slot, succeeded)
             if succeeded is None:
-                # The caller left: the engine need not go on.
+                # The caller disconnected, so the engine may stop generating.
                 replica = slot.selection.replica.description
-                _in_background(self._calls.cancel(replica, request.request_id))
+                _run_in_background(self._calls.cancel(replica, request.request_id))
             on_end(succeeded is True)
 
     async def _resume(
@@ -124,8 +124,8 @@
         if timeout_s <= 0:
             return None
         replica = slot.selection.replica.description
-        resumed = await self._calls.resume(replica, request.request_id, offset, timeout_s)
-        if not isinstance(resumed, Success):
+        resume_result = await self._calls.resume(replica, request.request_id, offset, timeout_s)
+        if not isinstance(resume_result, Success):
             return None
         log_event(
             Event.STREAM_RESUMED,
@@ -133,25 +133,27 @@
             replica=replica.replica_id,
             offset=offset,
         )
-        continued: BackendAnswer = resumed.unwrap()
-        return continued
+        continuation: BackendAnswer = resume_result.unwrap()
+        return continuation
 
 
-async def _read_all(answer: BackendAnswer) -> bytes:
+async def _read_all(response: BackendAnswer) -> bytes:
     parts: list[bytes] = []
     size = 0
-    while chunk := await answer.read():
+    while chunk := await response.read():
         parts.append(chunk)
         size += len(chunk)
-        if size > MAX_WHOLE_ANSWER_BYTES:
-            raise TruncatedAnswerError("the answer is too large to be held whole")
+        if size > MAX_COMPLETE_RESPONSE_BYTES:
+            raise TruncatedAnswerError(
+                f"the response is larger than {MAX_COMPLETE_RESPONSE_BYTES} bytes"
+            )
     return b"".join(parts)
 
 
-_background: set[asyncio.Task[None]] = set()
+_background_tasks: set[asyncio.Task[None]] = set()
 
 
-def _in_background(work: Coroutine[None, None, None]) -> None:
+def _run_in_background(work: Coroutine[None, None, None]) -> None:
     task = asyncio.create_task(work)
-    _background.add(task)
-    task.add_done_callback(_background.discard)
+    _background_tasks.add(task)
+    task.add_done_callback(_background_tasks.discard)
--- a/src/crowsill/pipeline/routing_table.py
+++ b/src/crowsill/pipeline/routing_table.py
@@ -1,4 +1,4 @@
-"""The configuration compiled for the request path: one look-up a question."""
+"""An index of the configuration for the request path, by tenant and resource."""
 
 from dataclasses import dataclass
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How requests of one tenant for one resource are treated.
+    """How requests of one tenant for one resource are served.
 
     Attributes:
         resource: `model`, `model:adapter` or the service's name.
-        pool: Pool of replicas.
-        traffic_class: Urgency, target and deadline.
+        pool: Pool of replicas that may serve them.
+        traffic_class: Their urgency, target and deadline.
         unsafe: Whether each request must run at most once.
     """
 
@@ -31,7 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRoutes:
-    """What one tenant may use."""
+    """Resources and limits of one tenant.
+
+    Attributes:
+        tenant: Name of the tenant.
+        limits: Its limits.
+        models: Routes by `model` or `model:adapter`.
+        services: Routes by service name.
+    """
 
     tenant: str
     limits: TenantLimits
@@ -45,7 +52,13 @@
 
 
 class RoutingTable:
-    """Routes by tenant and tenants by key, for one revision."""
+    """An index of one configuration, built once per revision.
+
+    Attributes:
+        revision: Revision of the configuration.
+        tenants: Routes by tenant.
+        key_ring: Finds the tenant that a bearer token belongs to.
+    """
 
     def __init__(self, configuration: Configuration) -> None:
         self.revision = configuration.revision
--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -8,7 +8,7 @@
 
 from crowsill.api.callers import caller_application
 from crowsill.api.server import HttpServer
-from crowsill.pipeline.incoming import StreamedAnswer
+from crowsill.pipeline.incoming import StreamedResponse
 from crowsill.settings import HttpListener
 
 
@@ -31,7 +31,7 @@
                 await asyncio.Event().wait()
             finally:
                 self.cancelled.set()
-        return Success(StreamedAnswer(200, "text/event-stream", self.chunks()))
+        return Success(StreamedResponse(200, "text/event-stream", self.chunks()))
 
     async def chunks(self):
         try:
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -370,7 +370,7 @@
         while admission._queues.count(Urgency.PATIENT) < 2:
             await asyncio.sleep(0)
         await asyncio.sleep(0.002)
-        admission.refuse_expired()
+        admission.reject_expired()
         refused = await late
         admission.release(held, succeeded=True)
         return await waiting, refused
