--- a/src/crowsill/control/fleet_observer.py
+++ b/src/crowsill/control/fleet_observer.py
@@ -12,7 +12,11 @@
 from returns.result import Success
 
 from crowsill.backends.interface import EnginePort, PlatformPort
-from crowsill.constants import ENGINE_POLL_S, FLEET_PUSH_S, PLATFORM_POLL_S
+from crowsill.constants import (
+    ENGINE_POLL_INTERVAL_S,
+    FLEET_PUSH_INTERVAL_S,
+    PLATFORM_POLL_INTERVAL_S,
+)
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.model.fleet import (
@@ -98,7 +102,7 @@
         platform_task = asyncio.create_task(self._poll_platform())
         try:
             while True:
-                await asyncio.sleep(FLEET_PUSH_S)
+                await asyncio.sleep(FLEET_PUSH_INTERVAL_S)
                 if self._all_polled():
                     self._publish_delta(epoch, full=first)
                     first = False
@@ -184,7 +188,7 @@
             listed = await self._platform.machines()
             if isinstance(listed, Success):
                 self._update_listed(listed.unwrap())
-            await asyncio.sleep(PLATFORM_POLL_S)
+            await asyncio.sleep(PLATFORM_POLL_INTERVAL_S)
 
     def _update_listed(self, machines: list[ReplicaDescription]) -> None:
         listed = {machine.replica_id: machine for machine in machines}
@@ -213,4 +217,4 @@
 
     def _period_s(self) -> float:
         """Interval of the polls of one back end; longer for a large fleet, to bound the cost."""
-        return max(ENGINE_POLL_S, len(self._observed) / MAX_POLLS_PER_S)
+        return max(ENGINE_POLL_INTERVAL_S, len(self._observed) / MAX_POLLS_PER_S)
--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -2,7 +2,7 @@
 
 The entry holds one stream to any control member. A heartbeat each second carries what it serves
 and the demand it saw; the reply, vouched for by the leader's lease, says which revision is in
-force. The entry is current for `ENTRY_CURRENCY_S` after the sending of a heartbeat that proved it.
+force. The entry is current for `ENTRY_FRESHNESS_S` after the sending of a heartbeat that proved it.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.consensus.invariants import require
-from crowsill.constants import ENTRY_CURRENCY_S, ENTRY_HEARTBEAT_S
+from crowsill.constants import ENTRY_FRESHNESS_S, ENTRY_HEARTBEAT_INTERVAL_S
 from crowsill.control.subscribers import DemandCounter
 from crowsill.events import Event
 from crowsill.logs import log_event
@@ -86,7 +86,7 @@
 
     def is_current(self, now_s: float) -> bool:
         """Whether this entry can prove that it serves the revision in force."""
-        fresh = now_s - self._proven_s <= ENTRY_CURRENCY_S
+        fresh = now_s - self._proven_s <= ENTRY_FRESHNESS_S
         return fresh and self.configuration.revision >= self._required_revision
 
     async def run(self) -> None:
@@ -116,7 +116,7 @@
                 if not await self._heartbeat(connection):
                     return proved
                 proved = True
-                await asyncio.sleep(ENTRY_HEARTBEAT_S)
+                await asyncio.sleep(ENTRY_HEARTBEAT_INTERVAL_S)
             return proved
         finally:
             connection.close()
