--- a/src/crowsill/entry/__init__.py
+++ b/src/crowsill/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry role: following the control members and serving callers."""
+"""The entry role: follows the control members and serves callers."""
--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -1,8 +1,8 @@
-"""How an entry follows the control members: newest configuration, fleet view, and currency.
+"""Keeps an entry up to date with the control group: configuration, fleet view and freshness.
 
-The entry holds one stream to any control member. A heartbeat each second carries what it serves
-and the demand it saw; the reply, vouched for by the leader's lease, says which revision is in
-force. The entry is current for `ENTRY_CURRENCY_S` after the sending of a heartbeat that proved it.
+The entry holds one stream to any control member. A heartbeat every `ENTRY_HEARTBEAT_S` carries its
+revision and its demand. The reply, covered by the leader's lease, confirms the revision that is in
+effect. The entry is current for `ENTRY_FRESHNESS_S` after it sent a heartbeat that was confirmed.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.consensus.invariants import require
-from crowsill.constants import ENTRY_CURRENCY_S, ENTRY_HEARTBEAT_S
+from crowsill.constants import ENTRY_FRESHNESS_S, ENTRY_HEARTBEAT_S
 from crowsill.control.subscribers import DemandCounter
 from crowsill.events import Event
 from crowsill.logs import log_event
@@ -36,19 +36,19 @@
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
 HEARTBEAT_TIMEOUT_S = 2.0
-FIRST_RETRY_S = 0.05
-LARGEST_RETRY_S = 1.0
+INITIAL_RETRY_S = 0.05
+MAX_RETRY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class FollowerHooks:
-    """What the entry does when something changes.
+class EntryHooks:
+    """Callbacks of the entry for changes.
 
     Attributes:
-        on_configuration: A newer configuration was adopted.
-        on_fleet: The fleet view changed; receives the step.
-        on_entries: The number of live entries became known.
-        on_members: The addresses of the control members became known.
+        on_configuration: Receives a newer configuration after it was adopted.
+        on_fleet: Receives each change of the fleet view.
+        on_entries: Receives the number of live entries with each confirmed heartbeat.
+        on_members: Receives the addresses of the control members that the group reported.
     """
 
     on_configuration: Callable[[Configuration], None]
@@ -57,11 +57,11 @@
     on_members: Callable[[list[Address]], None]
 
 
-class ControlFollower:
-    """Keeps one entry up to date.
+class EntryFollower:
+    """Follows one control member at a time.
 
     Attributes:
-        configuration: Newest configuration seen; its revision never falls.
+        configuration: Newest configuration received; its revision never decreases.
         fleet: Fleet view.
         demand: Requests by resource since the last heartbeat.
     """
@@ -70,7 +70,7 @@
         self,
         local: LocalIdentity,
         members: list[Address],
-        hooks: FollowerHooks,
+        hooks: EntryHooks,
         random: Random,
     ) -> None:
         self.configuration = Configuration()
@@ -81,17 +81,17 @@
         self._hooks = hooks
         self._random = random
         self._required_revision = 0
-        self._proven_s = float("-inf")
+        self._confirmed_at_s = float("-inf")
         self._was_current = False
 
     def is_current(self, now_s: float) -> bool:
-        """Whether this entry can prove that it serves the revision in force."""
-        fresh = now_s - self._proven_s <= ENTRY_CURRENCY_S
-        return fresh and self.configuration.revision >= self._required_revision
+        """Whether this entry was recently confirmed to have the revision that is in effect."""
+        is_fresh = now_s - self._confirmed_at_s <= ENTRY_FRESHNESS_S
+        return is_fresh and self.configuration.revision >= self._required_revision
 
     async def run(self) -> None:
-        """Follow for as long as the entry runs, one member after the other."""
-        backoff = Backoff(FIRST_RETRY_S, LARGEST_RETRY_S, self._random)
+        """Follow members one after the other, until cancelled."""
+        backoff = Backoff(INITIAL_RETRY_S, MAX_RETRY_S, self._random)
         while True:
             for address in self._contacts.targets():
                 if await self._follow(address):
@@ -102,7 +102,7 @@
             await asyncio.sleep(backoff.next_s())
 
     async def _follow(self, address: Address) -> bool:
-        """Follow one member until it fails; return whether it ever proved anything."""
+        """Follow one member until it fails; return whether it ever confirmed anything."""
         try:
             connection = await open_connection(
                 address.host, address.port, self._local, on_push=self._on_push
@@ -110,20 +110,20 @@
         except (OSError, TimeoutError, ProtocolError):
             return False
         reader = asyncio.create_task(connection.run())
-        proved = False
+        was_confirmed = False
         try:
             while not connection.is_closed:
                 if not await self._heartbeat(connection):
-                    return proved
-                proved = True
+                    return was_confirmed
+                was_confirmed = True
                 await asyncio.sleep(ENTRY_HEARTBEAT_S)
-            return proved
+            return was_confirmed
         finally:
             connection.close()
             await asyncio.wait([reader])
 
     async def _heartbeat(self, connection: Connection) -> bool:
-        sent_s = monotonic_s()
+        sent_at_s = monotonic_s()
         status = EntryStatus(
             self._local.identity, self._local.node, self._local.zone, self.configuration.revision
         )
@@ -141,7 +141,7 @@
             return False
         self._contacts.found()
         self._required_revision = max(self._required_revision, reply.revision)
-        self._proven_s = max(self._proven_s, sent_s)
+        self._confirmed_at_s = max(self._confirmed_at_s, sent_at_s)
         self._hooks.on_entries(max(1, reply.entries))
         if reply.members:
             self._contacts.learn([parse_address(member) for member in reply.members])
@@ -155,16 +155,16 @@
             self._hooks.on_fleet(body.delta)
 
     def _adopt_configuration(self, update: ConfigurationUpdate) -> None:
-        before = self.configuration.revision
-        if update.full is not None and update.full.revision > before:
+        previous_revision = self.configuration.revision
+        if update.full is not None and update.full.revision > previous_revision:
             self.configuration = update.full
         for delta in update.deltas:
-            # A gap is healed by the reply to the next heartbeat.
+            # If deltas are missing, the member resends them after the next heartbeat.
             if delta.revision == self.configuration.revision + 1:
                 self.configuration = self.configuration.with_content(delta.content, delta.revision)
         revision = self.configuration.revision
-        require(revision >= before, "an entry never goes back to an older revision")
-        if revision > before:
+        require(revision >= previous_revision, "the revision of an entry never decreases")
+        if revision > previous_revision:
             REVISION.set(revision)
             log_event(Event.CONFIGURATION_ADOPTED, revision=revision)
             self._hooks.on_configuration(self.configuration)
--- a/src/crowsill/entry/role.py
+++ b/src/crowsill/entry/role.py
@@ -1,4 +1,4 @@
-"""The entry role: everything between a caller's connection and a back end."""
+"""The entry role: listener, request pipeline, readiness and graceful shutdown."""
 
 import asyncio
 import secrets
@@ -10,7 +10,7 @@
 from crowsill.backends.http_calls import HttpCalls
 from crowsill.clock import monotonic_s
 from crowsill.entry.cache_watch import CacheWatch
-from crowsill.entry.follower import ControlFollower, FollowerHooks
+from crowsill.entry.follower import EntryFollower, EntryHooks
 from crowsill.events import Event
 from crowsill.logs import log_event
 from crowsill.metrics import READY
@@ -34,14 +34,14 @@
 
 
 class EntryRole:
-    """One entry machine's work."""
+    """Serves callers at one entry."""
 
     def __init__(self, settings: Settings, entry: EntrySettings, key: bytes) -> None:
-        """Wire the filters.
+        """Create the role.
 
         Args:
-            settings: The process's settings.
-            entry: Its entry table.
+            settings: Settings of the process.
+            entry: The `entry` table of the settings.
             key: The cluster key.
         """
         self._entry = entry
@@ -52,13 +52,13 @@
         self._candidates = CandidateIndex()
         self._admission = Admission(self._selector, self._candidates, entry.max_queued)
         self._leader_client = LeaderClient(local, entry.control_members, random)
-        hooks = FollowerHooks(
+        hooks = EntryHooks(
             on_configuration=self._on_configuration,
             on_fleet=self._on_fleet,
             on_entries=self._on_entries,
             on_members=self._leader_client.use_members,
         )
-        self._follower = ControlFollower(local, entry.control_members, hooks, random)
+        self._follower = EntryFollower(local, entry.control_members, hooks, random)
         self._stopping = False
         self._ready = False
         self._tasks: list[asyncio.Task[None]] = []
@@ -70,15 +70,15 @@
 
     @property
     def port(self) -> int:
-        """Port of the callers' listener once started."""
+        """Port of the callers' listener; 0 before `start`."""
         return self._server.port if self._server is not None else 0
 
     async def start(self) -> None:
-        """Open the listener and start to follow the control members."""
+        """Open the listener and start the background tasks."""
         self._calls = HttpCalls()
         self._cache = HttpCache()
-        watch = CacheWatch(self._cache, self._follower.fleet, self._selector.hints)
-        self._admission.on_slot_granted = watch.used
+        cache_watch = CacheWatch(self._cache, self._follower.fleet, self._selector.hints)
+        self._admission.on_slot_granted = cache_watch.note_used
         filters = Filters(
             self._admission,
             Deduplicator(self._leader_client, self._incarnation),
@@ -93,13 +93,13 @@
             asyncio.create_task(self._follower.run()),
             asyncio.create_task(self._admission.sweep()),
             asyncio.create_task(self._watch_readiness()),
-            asyncio.create_task(watch.run()),
+            asyncio.create_task(cache_watch.run()),
         ]
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here."""
-        current = self._follower.is_current(monotonic_s())
-        return current and not self._stopping
+        """Whether the load balancer should send requests to this entry."""
+        is_current = self._follower.is_current(monotonic_s())
+        return is_current and not self._stopping
 
     async def _watch_readiness(self) -> None:
         while True:
@@ -126,9 +126,9 @@
             report = state.report
             loads.reported(state.description.replica_id, report.running + report.waiting)
         for update in delta.loads:
-            name = self._follower.fleet.replica_id_by_number.get(update.number)
-            if name is not None:
-                loads.reported(name, update.in_flight)
+            updated_id = self._follower.fleet.replica_id_by_number.get(update.number)
+            if updated_id is not None:
+                loads.reported(updated_id, update.in_flight)
         if delta.changed or delta.removed:
             self._candidates.rebuild(self._follower.fleet)
         self._admission.dispatch_waiting()
@@ -137,21 +137,21 @@
         self._selector.entries = entries
 
     async def drain(self) -> bool:
-        """Stop by plan.
+        """Prepare a planned stop.
 
-        Readiness goes first and requests are still taken until the balancer has noticed; then
-        the listener closes and everything in flight is finished.
+        The entry first reports that it isn't ready, and still accepts requests until the load
+        balancer has noticed. Then it closes the listener and finishes the requests in flight.
 
         Returns:
-            False when the limit passed with requests in flight.
+            False if requests were still unfinished at the time limit.
         """
         self._stopping = True
         log_event(Event.DRAIN_STARTED, in_flight=self._unfinished_count())
         await asyncio.sleep(self._entry.readiness_lag_s)
         if self._server is not None:
             self._server.stop_accepting()
-        deadline_s = monotonic_s() + self._entry.drain_limit_s
-        while self._unfinished_count() and monotonic_s() < deadline_s:
+        deadline_at_s = monotonic_s() + self._entry.drain_limit_s
+        while self._unfinished_count() and monotonic_s() < deadline_at_s:
             await asyncio.sleep(DRAIN_POLL_S)
         finished = self._unfinished_count() == 0
         log_event(Event.DRAIN_FINISHED if finished else Event.DRAIN_LIMIT)
@@ -161,7 +161,7 @@
         return self._pipeline.unfinished_count if self._pipeline is not None else 0
 
     async def stop(self) -> None:
-        """Release everything."""
+        """Close the listener and all connections, and cancel the background tasks."""
         if self._server is not None:
             await self._server.stop()
         for task in self._tasks:
--- a/src/crowsill_lab/bench/hollow.py
+++ b/src/crowsill_lab/bench/hollow.py
@@ -7,7 +7,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.control.operations import Status
-from crowsill.entry.follower import ControlFollower, FollowerHooks
+from crowsill.entry.follower import EntryFollower, EntryHooks
 from crowsill.model.configuration import (
     Configuration,
     ConfigurationChange,
@@ -67,7 +67,7 @@
 
     def __init__(self, site: Site, number: int) -> None:
         self.adopted_s: dict[int, float] = {}
-        hooks = FollowerHooks(
+        hooks = EntryHooks(
             on_configuration=self._adopt,
             on_fleet=lambda _delta: None,
             on_entries=lambda _count: None,
@@ -75,7 +75,7 @@
         )
         members = [Address("127.0.0.1", port) for port in site.control_ports]
         local = local_identity(site, f"hollow-{number}")
-        self.follower = ControlFollower(local, members, hooks, random.Random(number))
+        self.follower = EntryFollower(local, members, hooks, random.Random(number))
         self._task = asyncio.create_task(self.follower.run())
 
     def _adopt(self, configuration: Configuration) -> None:
