--- a/src/crowsill/api/callers.py
+++ b/src/crowsill/api/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: completions, plain services, models, health."""
+"""The HTTP interface for callers: completions, plain services, models and readiness."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
@@ -12,10 +12,10 @@
 from crowsill.api.common import (
     BODY_TIMEOUT_S,
     CONTENT_TYPE_JSON,
-    answer_problem,
     new_application,
     read_body,
     request_id_of,
+    write_problem,
 )
 from crowsill.constants import (
     HEADER_DEADLINE_MS,
@@ -32,14 +32,14 @@
 from crowsill.pipeline.pipeline import Pipeline
 
 SCOPE_RECEIVE = "crowsill.receive"
-SCOPE_DEPARTED = "crowsill.departed"
-_TRUE_WORDS = ("1", "true", "yes")
-_BODY_CUT = Problem(ErrorKind.INVALID_REQUEST, "the connection ended before the body did")
-_BODY_LATE = Problem(ErrorKind.INVALID_REQUEST, "the body did not arrive in time")
+SCOPE_DISCONNECTED = "crowsill.departed"
+_TRUE_VALUES = ("1", "true", "yes")
+_BODY_INCOMPLETE = Problem(ErrorKind.INVALID_REQUEST, "the connection ended before the body did")
+_BODY_TIMED_OUT = Problem(ErrorKind.INVALID_REQUEST, "the body did not arrive in time")
 
 
 class ModelObject(msgspec.Struct, frozen=True):
-    """One model in the list of models."""
+    """One model in the response to `GET /v1/models`."""
 
     id: str
     object: str = "model"
@@ -47,7 +47,7 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The body of `GET /v1/models`."""
+    """The response to `GET /v1/models`."""
 
     data: list[ModelObject]
     object: str = "list"
@@ -65,13 +65,13 @@
         idempotency_key=header(HEADER_IDEMPOTENCY_KEY),
         deadline_ms=header(HEADER_DEADLINE_MS),
         urgency=header(HEADER_URGENCY),
-        unsafe=(header(HEADER_UNSAFE) or "").lower() in _TRUE_WORDS,
+        unsafe=(header(HEADER_UNSAFE) or "").lower() in _TRUE_VALUES,
         body=body,
     )
 
 
 class RequestResource:
-    """Requests that go through the pipeline."""
+    """Resource of all requests that the pipeline serves."""
 
     def __init__(self, pipeline: Pipeline, max_body_bytes: int) -> None:
         self._pipeline = pipeline
@@ -86,34 +86,34 @@
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await read_body(request, self._max_body_bytes)
         except TimeoutError:
-            answer_problem(response, _BODY_LATE, request_id)
+            write_problem(response, _BODY_TIMED_OUT, request_id)
             return
         if not isinstance(body, Success):
-            answer_problem(response, body.failure(), request_id)
+            write_problem(response, body.failure(), request_id)
             return
-        if request.scope.get(SCOPE_DEPARTED, False):
-            # falcon ends the body where the connection ended: what came may be a part only.
-            answer_problem(response, _BODY_CUT, request_id)
+        if request.scope.get(SCOPE_DISCONNECTED, False):
+            # falcon ends the body when the connection ends, so it may be incomplete.
+            write_problem(response, _BODY_INCOMPLETE, request_id)
             return
-        serving = asyncio.create_task(
+        serve_task = asyncio.create_task(
             self._pipeline.serve(_incoming(request, request_id, body.unwrap()))
         )
-        departure = _watch_departure(request, serving)
+        disconnect_watch = _watch_disconnect(request, serve_task)
         try:
-            result = await serving
+            result = await serve_task
         except asyncio.CancelledError:
-            if departure.done():
-                # Nobody is there to be answered; the pipeline has given everything back.
+            if disconnect_watch.done():
+                # No caller is left to respond to; the pipeline has released the request's slot.
                 response.complete = True
                 return
             raise
         finally:
-            if not departure.done():
-                departure.cancel()
+            if not disconnect_watch.done():
+                disconnect_watch.cancel()
         if not isinstance(result, Success):
-            answer_problem(response, result.failure(), request_id)
+            write_problem(response, result.failure(), request_id)
             return
-        _answer(request, response, result.unwrap(), request_id)
+        _write_response(request, response, result.unwrap(), request_id)
 
     on_get = on_request
     on_post = on_request
@@ -122,25 +122,25 @@
     on_delete = on_request
 
 
-def _watch_departure(
-    request: falcon.asgi.Request, serving: asyncio.Task[Result[PipelineResponse, Problem]]
+def _watch_disconnect(
+    request: falcon.asgi.Request, serve_task: asyncio.Task[Result[PipelineResponse, Problem]]
 ) -> asyncio.Task[None]:
-    """Cancel a request when its caller leaves; an unsafe run goes on inside the pipeline."""
+    """Cancel a request when its caller disconnects; the pipeline still completes an unsafe run."""
     receive = request.scope[SCOPE_RECEIVE]
 
     async def watch() -> None:
         while (await receive())["type"] != "http.disconnect":
             pass
-        serving.cancel()
+        serve_task.cancel()
 
     return asyncio.create_task(watch())
 
 
-class DepartureAware:
-    """ASGI layer that lets resources see when their caller leaves.
+class DisconnectMonitor:
+    """ASGI middleware that lets resources notice when their caller disconnects.
 
-    falcon gives no access to the connection's events once the body has been read. A stream is
-    closed as soon as sending finds that the caller is gone.
+    falcon gives no access to the events of a connection once the body has been read. With them, a
+    waiting request is cancelled and a stream is closed when the caller disconnects.
     """
 
     def __init__(self, application: Any) -> None:  # noqa: ANN401
@@ -152,52 +152,52 @@
         async def watched_receive() -> Any:  # noqa: ANN401
             message = await receive()
             if message["type"] == "http.disconnect":
-                scope[SCOPE_DEPARTED] = True
+                scope[SCOPE_DISCONNECTED] = True
             return message
 
         scope[SCOPE_RECEIVE] = watched_receive
         await self._application(scope, watched_receive, send)
 
 
-async def _until_departure(
+async def _until_disconnect(
     request: falcon.asgi.Request, chunks: AsyncGenerator[bytes, None]
 ) -> AsyncIterator[bytes]:
-    """Yield chunks until the caller leaves; then the stream is closed at its source.
+    """Yield chunks until the caller disconnects, then close their source.
 
-    Sending to a caller that has left does nothing and reports nothing, so the connection's own
-    events have to be watched.
+    Sending to a caller that has disconnected raises no error, so the events of the connection have
+    to be watched.
     """
     receive = request.scope[SCOPE_RECEIVE]
-    departure = asyncio.create_task(receive())
+    disconnect_watch = asyncio.create_task(receive())
     try:
         async for chunk in chunks:
-            if departure.done():
+            if disconnect_watch.done():
                 return
             yield chunk
     finally:
-        departure.cancel()
+        disconnect_watch.cancel()
         await chunks.aclose()
 
 
-def _answer(
+def _write_response(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
-    answer: PipelineResponse,
+    served: PipelineResponse,
     request_id: str,
 ) -> None:
-    response.status = answer.status
-    response.content_type = answer.content_type
+    response.status = served.status
+    response.content_type = served.content_type
     response.set_header(HEADER_REQUEST_ID, request_id)
-    if isinstance(answer, StreamedResponse):
-        response.stream = _until_departure(request, answer.chunks)
+    if isinstance(served, StreamedResponse):
+        response.stream = _until_disconnect(request, served.chunks)
         return
-    response.data = answer.body
-    if answer.replayed:
+    response.data = served.body
+    if served.replayed:
         response.set_header(HEADER_REPLAYED, "true")
 
 
 class ModelsResource:
-    """`GET /v1/models`: the models and adapters the tenant may use."""
+    """`GET /v1/models`: the models and adapters that the tenant may use."""
 
     def __init__(self, pipeline: Pipeline) -> None:
         self._pipeline = pipeline
@@ -207,11 +207,11 @@
         request_id = request_id_of(request)
         table = self._pipeline.table
         if table is None:
-            answer_problem(response, Problem(ErrorKind.NOT_READY, "starting"), request_id)
+            write_problem(response, Problem(ErrorKind.NOT_READY, "starting"), request_id)
             return
         authenticated = authenticate(_incoming(request, request_id, b""), table)
         if not isinstance(authenticated, Success):
-            answer_problem(response, authenticated.failure(), request_id)
+            write_problem(response, authenticated.failure(), request_id)
             return
         names = sorted(authenticated.unwrap().models)
         response.content_type = CONTENT_TYPE_JSON
@@ -219,16 +219,18 @@
 
 
 class ReadinessResource:
-    """`GET /readyz`: whether the balancer should send requests here."""
+    """`GET /readyz`: whether the load balancer should send requests to this entry."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Answer 200 when ready, else by the error table."""
+        """Respond with 200 if the entry is ready, else with `not_ready`."""
         if not self._is_ready():
-            problem = Problem(ErrorKind.NOT_READY, "starting, stopping or cut off")
-            answer_problem(response, problem, request_id_of(request))
+            problem = Problem(
+                ErrorKind.NOT_READY, "the entry is starting, stopping or not confirmed as current"
+            )
+            write_problem(response, problem, request_id_of(request))
             return
         response.content_type = CONTENT_TYPE_JSON
         response.data = b'{"status":"ready"}'
@@ -241,8 +243,8 @@
 
     Args:
         pipeline: Serves requests.
-        is_ready: Tells readiness.
-        max_body_bytes: Largest accepted body.
+        is_ready: Returns whether the entry is ready.
+        max_body_bytes: Maximum size of a request's body.
     """
     application = new_application()
     resource = RequestResource(pipeline, max_body_bytes)
@@ -252,4 +254,4 @@
     application.add_route("/services/{service}/{rest:path}", resource)
     application.add_route("/v1/models", ModelsResource(pipeline))
     application.add_route("/readyz", ReadinessResource(is_ready))
-    return DepartureAware(application)
+    return DisconnectMonitor(application)
--- a/src/crowsill/api/common.py
+++ b/src/crowsill/api/common.py
@@ -1,4 +1,4 @@
-"""What the HTTP resources share."""
+"""Code that all HTTP listeners share: request ids, bodies, error responses, health and metrics."""
 
 import re
 import uuid
@@ -20,15 +20,15 @@
 
 
 def request_id_of(request: falcon.asgi.Request) -> str:
-    """Return the caller's request id if it is usable, else a new one."""
+    """Return the caller's request id if it is valid, else a new one."""
     given = request.get_header(HEADER_REQUEST_ID)
     if given and len(given) <= MAX_IDENTIFIER_LENGTH and _REQUEST_ID.fullmatch(given):
         return given
     return uuid.uuid4().hex
 
 
-def answer_problem(response: falcon.asgi.Response, problem: Problem, request_id: str) -> None:
-    """Turn a problem into the answer that the error table gives."""
+def write_problem(response: falcon.asgi.Response, problem: Problem, request_id: str) -> None:
+    """Write the response that the error table defines for a problem."""
     answer = problem.answer
     response.status = answer.status
     response.content_type = CONTENT_TYPE_JSON
@@ -39,7 +39,7 @@
 
 
 async def read_body(request: falcon.asgi.Request, max_bytes: int) -> Result[bytes, Problem]:
-    """Read a whole body of bounded size."""
+    """Read a complete body of at most `max_bytes`."""
     length = request.content_length
     if length is not None and length > max_bytes:
         return Failure(_too_large(max_bytes))
@@ -51,7 +51,7 @@
             return Failure(_too_large(max_bytes))
         parts.append(part)
     if length is not None and size != length:
-        detail = f"the body has {size} bytes, not the {length} announced"
+        detail = f"the body has {size} bytes, but Content-Length is {length}"
         return Failure(Problem(ErrorKind.INVALID_REQUEST, detail))
     return Success(b"".join(parts))
 
@@ -60,16 +60,16 @@
     return Problem(ErrorKind.BODY_TOO_LARGE, f"the body is larger than {max_bytes} bytes")
 
 
-async def handle_unexpected(
+async def handle_unexpected_error(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
     error: Exception,
     _params: object,
 ) -> None:
-    """Answer an error nobody expected without telling its insides."""
+    """Respond to an unexpected error without disclosing its details."""
     log_event(Event.INTERNAL_ERROR, where=request.path, error=repr(error))
     problem = Problem(ErrorKind.INTERNAL, "an unexpected error; its details are in the log")
-    answer_problem(response, problem, request_id_of(request))
+    write_problem(response, problem, request_id_of(request))
 
 
 async def handle_http_error(
@@ -78,34 +78,34 @@
     error: falcon.HTTPError,
     _params: object,
 ) -> None:
-    """Answer falcon's own refusals, such as an unknown path, by the error table's form."""
+    """Respond to falcon's own errors, such as an unknown path, with crowsill's error body."""
     detail = f"{request.method} {request.path}: {error.title}"
-    answer_problem(response, Problem(ErrorKind.INVALID_REQUEST, detail), request_id_of(request))
+    write_problem(response, Problem(ErrorKind.INVALID_REQUEST, detail), request_id_of(request))
     response.status = error.status_code
 
 
 class HealthResource:
-    """`GET /healthz`: the process lives."""
+    """`GET /healthz`: whether the process is alive."""
 
     async def on_get(self, _request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Answer 200."""
+        """Respond with 200."""
         response.content_type = CONTENT_TYPE_JSON
         response.data = b'{"status":"alive"}'
 
 
 class MetricsResource:
-    """`GET /metrics`: metrics in the text format."""
+    """`GET /metrics`: metrics in the text format of Prometheus."""
 
     async def on_get(self, _request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Answer with all metrics."""
+        """Respond with all metrics."""
         response.content_type = "text/plain; version=0.0.4; charset=utf-8"
         response.data = render_metrics()
 
 
 def new_application() -> Any:  # noqa: ANN401
-    """Return an application with the resources every listener has."""
+    """Return an application with the resources that every listener has."""
     application = falcon.asgi.App()
-    application.add_error_handler(Exception, handle_unexpected)
+    application.add_error_handler(Exception, handle_unexpected_error)
     application.add_error_handler(falcon.HTTPError, handle_http_error)
     application.add_route("/healthz", HealthResource())
     application.add_route("/metrics", MetricsResource())
--- a/src/crowsill/api/operators.py
+++ b/src/crowsill/api/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a control member."""
+"""The HTTP interface of a control member for operators."""
 
 import hmac
 from typing import Any
@@ -10,10 +10,10 @@
 
 from crowsill.api.common import (
     CONTENT_TYPE_JSON,
-    answer_problem,
     new_application,
     read_body,
     request_id_of,
+    write_problem,
 )
 from crowsill.constants import MAX_BODY_BYTES
 from crowsill.control.operations import LiftRequest, OperatorService
@@ -24,10 +24,10 @@
 
 
 class OperatorAuthentication:
-    """Middleware that lets only operators through to `/v1`."""
+    """Middleware that admits only operators to paths below `/v1/`."""
 
     def __init__(self, token_sha256: list[str]) -> None:
-        """Make the middleware.
+        """Create the middleware.
 
         Args:
             token_sha256: SHA-256 of each operator token, as hex.
@@ -37,21 +37,21 @@
     async def process_request(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Refuse requests without a known token."""
+        """Reject requests without a known token."""
         if not request.path.startswith("/v1/") or self._is_known(request):
             return
         problem = Problem(ErrorKind.UNAUTHENTICATED, "an operator token is required")
-        answer_problem(response, problem, request_id_of(request))
+        write_problem(response, problem, request_id_of(request))
         response.complete = True
 
     def _is_known(self, request: falcon.asgi.Request) -> bool:
         digest = bearer_digest(request.get_header("Authorization") or "")
         if digest is None:
             return False
-        return any([hmac.compare_digest(digest, known) for known in self._digests])
+        return any([hmac.compare_digest(digest, known_digest) for known_digest in self._digests])
 
 
-def _answer(response: falcon.asgi.Response, body: msgspec.Struct | list[Any]) -> None:
+def _write_json(response: falcon.asgi.Response, body: msgspec.Struct | list[Any]) -> None:
     response.content_type = CONTENT_TYPE_JSON
     response.data = msgspec.json.encode(body)
 
@@ -65,16 +65,16 @@
     """`GET /v1/status`."""
 
     async def on_get(self, _request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Describe the system."""
-        _answer(response, await self._operations.status())
+        """Return the status of the deployment."""
+        _write_json(response, await self._operations.status())
 
 
 class ConfigurationResource(_Resource):
     """`GET /v1/configuration`."""
 
     async def on_get(self, _request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Return the configuration applied at this member."""
-        _answer(response, self._operations.configuration)
+        """Return the configuration that this member has applied."""
+        _write_json(response, self._operations.configuration)
 
 
 class HistoryResource(_Resource):
@@ -82,7 +82,7 @@
 
     async def on_get(self, _request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         """Return accepted changes, oldest first."""
-        _answer(response, self._operations.history())
+        _write_json(response, self._operations.history())
 
 
 async def _decode(
@@ -103,12 +103,12 @@
     _decoder = msgspec.json.Decoder(ConfigurationContent)
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Return what a change would do."""
+        """Return the effect of a change without applying it."""
         decoded = await _decode(request, self._decoder)
         if not isinstance(decoded, Success):
-            answer_problem(response, decoded.failure(), request_id_of(request))
+            write_problem(response, decoded.failure(), request_id_of(request))
             return
-        _answer(response, self._operations.plan(decoded.unwrap()))
+        _write_json(response, self._operations.plan(decoded.unwrap()))
 
 
 class ChangesResource(_Resource):
@@ -117,18 +117,18 @@
     _decoder = msgspec.json.Decoder(ConfigurationChange)
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Submit a change."""
+        """Submit a change of the configuration."""
         decoded = await _decode(request, self._decoder)
         if isinstance(decoded, Success) and not decoded.unwrap().change_id:
             decoded = Failure(Problem(ErrorKind.INVALID_REQUEST, "change_id must not be empty"))
         if not isinstance(decoded, Success):
-            answer_problem(response, decoded.failure(), request_id_of(request))
+            write_problem(response, decoded.failure(), request_id_of(request))
             return
         result = await self._operations.submit(decoded.unwrap())
         if not isinstance(result, Success):
-            answer_problem(response, result.failure(), request_id_of(request))
+            write_problem(response, result.failure(), request_id_of(request))
             return
-        _answer(response, result.unwrap())
+        _write_json(response, result.unwrap())
 
 
 class MembersResource(_Resource):
@@ -137,48 +137,48 @@
     _decoder = msgspec.json.Decoder(MembersRequest)
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Describe the group."""
+        """Return the members of the control group."""
         await self._handle(MembersRequest(MemberAction.LIST), request, response)
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Start a change of the group; sent again, it does no more."""
+        """Start a change of the control group; a resend has no further effect."""
         decoded = await _decode(request, self._decoder)
         if not isinstance(decoded, Success):
-            answer_problem(response, decoded.failure(), request_id_of(request))
+            write_problem(response, decoded.failure(), request_id_of(request))
             return
         await self._handle(decoded.unwrap(), request, response)
 
     async def _handle(
         self,
-        wanted: MembersRequest,
+        members_request: MembersRequest,
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
     ) -> None:
-        result = await self._operations.members(wanted)
+        result = await self._operations.members(members_request)
         if not isinstance(result, Success):
-            answer_problem(response, result.failure(), request_id_of(request))
+            write_problem(response, result.failure(), request_id_of(request))
             return
-        _answer(response, result.unwrap())
+        _write_json(response, result.unwrap())
 
 
 class ReplicasResource(_Resource):
     """`GET /v1/replicas`."""
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Return registered replicas, and which gateways send them nothing."""
+        """Return registered replicas, and the gateways that exclude them."""
         result = self._operations.registered_replicas()
         if not isinstance(result, Success):
-            answer_problem(response, result.failure(), request_id_of(request))
+            write_problem(response, result.failure(), request_id_of(request))
             return
-        _answer(response, result.unwrap())
+        _write_json(response, result.unwrap())
 
 
 class QuarantineResource(_Resource):
     """`GET /v1/quarantine`."""
 
     async def on_get(self, _request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Return the requests under which replicas ended."""
-        _answer(response, self._operations.quarantine())
+        """Return the requests during which replicas crashed."""
+        _write_json(response, self._operations.quarantine())
 
 
 class LiftResource(_Resource):
@@ -187,21 +187,21 @@
     _decoder = msgspec.json.Decoder(LiftRequest)
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Let one request be sent to replicas again."""
+        """End the quarantine of one request, so that gateways send it to replicas again."""
         result = await _decode(request, self._decoder)
         if isinstance(result, Success):
             result = await self._operations.lift(result.unwrap())
         if not isinstance(result, Success):
-            answer_problem(response, result.failure(), request_id_of(request))
+            write_problem(response, result.failure(), request_id_of(request))
             return
-        _answer(response, result.unwrap())
+        _write_json(response, result.unwrap())
 
 
 def operator_application(operations: OperatorService, token_sha256: list[str]) -> Any:  # noqa: ANN401
     """Return the ASGI application for operators.
 
     Args:
-        operations: What operators can ask.
+        operations: Handles the requests of operators.
         token_sha256: SHA-256 of each operator token, as hex.
     """
     application = new_application()
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -13,7 +13,7 @@
 import falcon
 import falcon.asgi
 
-from crowsill.api.common import answer_problem, new_application, request_id_of
+from crowsill.api.common import new_application, request_id_of, write_problem
 from crowsill.api.server import HttpServer
 from crowsill.clock import monotonic_s
 from crowsill.control.announcer import accept_referral
@@ -126,7 +126,7 @@
         leader = self._locator.leader
         if leader is None:
             problem = Problem(ErrorKind.NO_LEADER, "no leader of the control group is known")
-            answer_problem(response, problem, request_id_of(request))
+            write_problem(response, problem, request_id_of(request))
             return
         response.status = falcon.HTTP_307
         response.location = f"http://{leader.host}:{self._port}{request.relative_uri}"
--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -106,10 +106,10 @@
         port = int(url.split(":")[2].split("/")[0])
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + request_start)
-        while not server.requests_under_way:
+        while not server.requests_in_flight:
             await asyncio.sleep(0.001)
         writer.close()
-        while server.requests_under_way or server.connections:
+        while server.requests_in_flight or server.connections:
             await asyncio.sleep(0.001)
         await server.stop()
         return pipeline.started.is_set()
