--- a/tests/test_gateway_tenants.py
+++ b/tests/test_gateway_tenants.py
@@ -1,4 +1,4 @@
-"""A gateway that knows tenants: who is served, what a replica is told, when a proof is too old."""
+"""A gateway with tenants: who is served, what is forwarded, and when a proof is stale."""
 
 import asyncio
 import hashlib
@@ -22,32 +22,34 @@
 
 
 SHOP = Tenant("shop", [digest("shop-key"), digest("old-key")], rank=1)
-LIMITED = msgspec.structs.replace(
+LIMITED_SHOP = msgspec.structs.replace(
     SHOP, rate_per_s=1000.0, burst=1000.0, unit=RateUnit.TOKENS, plain_tokens=200.0
 )
 
 
-def keyed(*tenants, version=1):
-    """The world's routes with tenants; `safe` is open to callers without a key."""
-    plain = routes(version)
-    made = [msgspec.structs.replace(route, public=route.name == "safe") for route in plain.routes]
-    return msgspec.structs.replace(plain, routes=made, tenants=list(tenants or (SHOP,)))
+def routes_with_tenants(*tenants, version=1):
+    """Return the default routes with tenants; `safe` is open to callers without a key."""
+    base = routes(version)
+    changed_routes = [
+        msgspec.structs.replace(route, public=route.name == "safe") for route in base.routes
+    ]
+    return msgspec.structs.replace(base, routes=changed_routes, tenants=list(tenants or (SHOP,)))
 
 
-class Leader:
-    """Answers questions for grants from a script, and keeps them."""
+class ScriptedLeader:
+    """Answers grant requests from a script and records them."""
 
     def __init__(self, *replies):
         self.replies = list(replies)
-        self.asked = []
+        self.requests = []
 
-    async def ask(self, question, _timeout_s):
-        self.asked.append((question.tenant, question.units))
+    async def query(self, request, _timeout_s):
+        self.requests.append((request.tenant, request.units))
         return self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
 
 
-def told(here, number=0):
-    """Return the headers of the last request that a replica had."""
+def last_headers(here, number=0):
+    """Return the headers of the last request at a replica."""
     return here._replicas[number].requests[-1][1]
 
 
@@ -65,9 +67,9 @@
         ["X-Key: shop-key"],
     ],
 )
-def test_a_caller_without_one_known_key_is_refused_and_nothing_runs(headers):
+def test_a_caller_without_exactly_one_known_key_is_rejected_and_nothing_runs(headers):
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             status, found, body = await (await here.caller()).request("once", headers=headers)
             assert status == 401 and "retry-after" not in found
             assert here._replicas[0].requests == [] and b"wrong" not in body
@@ -76,22 +78,26 @@
 
 
 @pytest.mark.parametrize("scheme", ["Bearer", "bearer", "BEARER", "bEaReR "])
-def test_the_scheme_of_a_key_is_read_in_any_case(scheme):
+def test_the_scheme_of_a_key_is_case_insensitive(scheme):
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             headers = [f"aUTHORization: {scheme} shop-key", f"{TENANT}: rival"]
             assert (await (await here.caller()).request("once", headers=headers))[0] == 200
-            assert told(here)[TENANT] == "shop" and "authorization" not in told(here)
+            assert last_headers(here)[TENANT] == "shop" and "authorization" not in last_headers(
+                here
+            )
 
     run(scenario())
 
 
-def test_a_key_that_the_connection_names_is_still_asked_for():
+def test_a_key_listed_in_the_connection_header_is_still_checked():
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             headers = [KEY, f"Connection: authorization, {TENANT}"]
             assert (await (await here.caller()).request("once", headers=headers))[0] == 200
-            assert told(here)[TENANT] == "shop" and "authorization" not in told(here)
+            assert last_headers(here)[TENANT] == "shop" and "authorization" not in last_headers(
+                here
+            )
 
     run(scenario())
 
@@ -99,35 +105,37 @@
 @pytest.mark.parametrize(
     ("headers", "tenant"), [([], None), ([KEY], "shop"), (["Authorization: Bearer wrong"], None)]
 )
-def test_a_public_route_serves_everybody_and_passes_no_key_on(headers, tenant):
+def test_a_public_route_serves_everybody_and_forwards_no_key(headers, tenant):
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             headers_sent = [*headers, f"{TENANT}: rival"]
             assert (await (await here.caller()).request("safe", headers=headers_sent))[0] == 200
-            assert told(here).get(TENANT) == tenant and "authorization" not in told(here)
+            assert last_headers(here).get(TENANT) == tenant and "authorization" not in last_headers(
+                here
+            )
 
     run(scenario())
 
 
-def test_the_rank_of_a_tenant_goes_before_that_of_its_route():
+def test_the_rank_of_a_tenant_takes_precedence_over_that_of_its_route():
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             headers = [KEY, f"{NAMES.model.decode()}: m"]
             assert (await (await here.caller()).request("engine", headers=headers))[0] == 200
-            assert told(here)[NAMES.priority.decode()] == "1"
+            assert last_headers(here)[NAMES.priority.decode()] == "1"
 
     run(scenario())
 
 
-def test_a_key_that_was_taken_away_runs_nothing_more_also_for_a_request_that_waits():
-    # A request that waited for its replica was identified before the key was taken away.
+def test_a_revoked_key_runs_nothing_even_for_a_waiting_request():
+    # The waiting request was identified before the key was revoked.
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             here.adopt([])
             caller = await here.caller()
             caller.send("once", headers=[KEY])
             await asyncio.sleep(0.2)
-            here.role._table = GatewayRoutingTable(keyed(Tenant("shop"), version=2))
+            here.role._table = GatewayRoutingTable(routes_with_tenants(Tenant("shop"), version=2))
             here.role._notify_change()
             assert (await caller.head())[0] == 401
             assert here._replicas[0].requests == []
@@ -135,25 +143,25 @@
     run(scenario())
 
 
-def test_a_gateway_out_of_touch_runs_nothing_with_a_key_once_its_proof_is_too_old():
+def test_an_isolated_gateway_runs_nothing_with_a_key_once_its_proof_is_stale():
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
-            # The bound is 5 s, and a gateway stops a second before it.
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
+            # The bound is 5 s; a gateway stops one second before it.
             here.role._on_current(1, monotonic_s() - 3.0)
             assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 200
             here.role._on_current(1, monotonic_s() - 4.01)
             status, found, _ = await (await here.caller()).request("once", "r2", headers=[KEY])
             assert status == 503 and float(found["retry-after"]) <= 1.0
             assert len(here._replicas[0].requests) == 1
-            # What needs no key is served on.
+            # Requests without a key are still served.
             assert (await (await here.caller()).request("safe", "r3"))[0] == 200
 
     run(scenario())
 
 
-def test_a_gateway_that_refuses_every_key_says_that_it_is_not_ready():
+def test_a_gateway_that_rejects_every_key_is_not_ready():
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             assert here.role.is_ready()
             here.role._on_current(1, monotonic_s() - 4.01)
             assert not here.role.is_ready()
@@ -166,9 +174,9 @@
     run(scenario())
 
 
-def test_a_proof_that_comes_while_a_request_waits_for_it_serves_the_request():
+def test_a_request_that_waits_for_a_proof_is_served_when_it_arrives():
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             here.role._on_current(1, monotonic_s() - 60.0)
             caller = await here.caller()
             caller.send("once", headers=[KEY])
@@ -179,9 +187,9 @@
     run(scenario())
 
 
-def test_a_key_counts_as_unknown_only_by_what_is_known_to_be_current():
+def test_a_key_is_unknown_only_by_state_that_is_proved_current():
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             here.role._on_current(1, monotonic_s() - 2.0)
             headers = ["Authorization: Bearer new-key"]
             assert (await (await here.caller()).request("once", headers=headers))[0] == 503
@@ -191,18 +199,18 @@
     run(scenario())
 
 
-def test_the_proof_is_looked_at_again_after_the_connection_has_come_up():
-    # A gateway that freezes between its check and its send wakes up with a proof that is too old.
+def test_the_proof_is_checked_again_after_the_connection_opens():
+    # A gateway that freezes between the check and sending resumes with a stale proof.
     async def scenario():
-        async with world(respond_ok, configuration=keyed()) as here:
+        async with world(respond_ok, configuration=routes_with_tenants()) as here:
             acquire = here.role.pool.acquire
 
-            async def slow(*arguments):
+            async def acquire_with_stale_proof(*arguments):
                 connection = await acquire(*arguments)
                 here.role._on_current(1, monotonic_s() - 60.0)
                 return connection
 
-            here.role.pool.acquire = slow
+            here.role.pool.acquire = acquire_with_stale_proof
             assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 503
             assert here._replicas[0].requests == []
 
@@ -212,29 +220,29 @@
 # Quotas.
 
 
-def limited(here, *replies):
-    leader = Leader(*replies)
-    here.role.grants = GrantClient(leader.ask)
+def with_scripted_leader(here, *replies):
+    leader = ScriptedLeader(*replies)
+    here.role.grants = GrantClient(leader.query)
     return leader
 
 
-def test_a_request_counts_its_tokens_in_and_out_or_the_plain_figure():
+def test_a_request_is_charged_its_tokens_or_the_plain_figure():
     async def scenario():
-        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
-            leader = limited(here, GrantReply(True, 0.0, 0.8))
+        async with world(respond_ok, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            leader = with_scripted_leader(here, GrantReply(True, 0.0, 0.8))
             counts = f"{NAMES.token_counts.decode()}: 700,80"
             caller = await here.caller()
             assert (await caller.request("once", "r1", headers=[KEY, counts]))[0] == 200
             assert (await caller.request("once", "r2", headers=[KEY]))[0] == 200
-            assert leader.asked == [("shop", 780.0), ("shop", 200.0)]
+            assert leader.requests == [("shop", 780.0), ("shop", 200.0)]
 
     run(scenario())
 
 
-def test_what_is_over_the_rate_is_refused_with_the_time_at_which_there_is_room():
+def test_a_request_over_the_rate_is_rejected_with_the_time_until_capacity():
     async def scenario():
-        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
-            limited(here, GrantReply(False, 1.75, 0.8))
+        async with world(respond_ok, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            with_scripted_leader(here, GrantReply(False, 1.75, 0.8))
             status, found, body = await (await here.caller()).request("once", headers=[KEY])
             assert (status, found["retry-after"]) == (429, "1.75")
             assert here._replicas[0].requests == [] and b"not_run" in body
@@ -244,8 +252,8 @@
 
 def test_a_grant_that_takes_effect_later_is_waited_for():
     async def scenario():
-        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
-            limited(here, GrantReply(True, 0.25, 0.8))
+        async with world(respond_ok, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            with_scripted_leader(here, GrantReply(True, 0.25, 0.8))
             began_s = monotonic_s()
             assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 200
             assert monotonic_s() - began_s >= 0.25
@@ -253,20 +261,22 @@
     run(scenario())
 
 
-def test_a_grant_that_was_too_long_on_its_way_is_not_used():
+def test_a_grant_that_arrives_expired_is_not_used():
     async def scenario():
-        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
-            leader = limited(here, GrantReply(True, 0.0, 0.0), GrantReply(True, 0.0, 0.8))
+        async with world(respond_ok, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            leader = with_scripted_leader(
+                here, GrantReply(True, 0.0, 0.0), GrantReply(True, 0.0, 0.8)
+            )
             assert (await (await here.caller()).request("once", headers=[KEY]))[0] == 200
-            assert len(leader.asked) == 2
+            assert len(leader.requests) == 2
 
     run(scenario())
 
 
 def test_without_a_leader_nothing_runs_on_a_limited_rate():
     async def scenario():
-        async with world(respond_ok, configuration=keyed(LIMITED)) as here:
-            limited(here, NotLeader(None))
+        async with world(respond_ok, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            with_scripted_leader(here, NotLeader(None))
             status, found, _ = await (await here.caller()).request("once", headers=[KEY])
             assert status == 503 and "retry-after" in found
             assert here._replicas[0].requests == []
@@ -274,45 +284,46 @@
     run(scenario())
 
 
-def test_units_of_a_request_that_no_replica_ran_serve_the_next_one():
+def test_units_of_a_request_that_no_replica_ran_are_used_for_the_next_one():
     async def scenario():
-        async with world(reject_not_run, configuration=keyed(LIMITED)) as here:
-            leader = limited(here, GrantReply(True, 0.0, 30.0))
+        async with world(reject_not_run, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            leader = with_scripted_leader(here, GrantReply(True, 0.0, 30.0))
             assert (await (await here.caller()).request("once", "r1", headers=[KEY]))[0] == 503
             here._replicas[0].script = respond_ok
             here.role.registry.find("i-1").availability.missing_resources.clear()
             assert (await (await here.caller()).request("once", "r2", headers=[KEY]))[0] == 200
-            assert len(leader.asked) == 1
+            assert len(leader.requests) == 1
 
     run(scenario())
 
 
-def test_a_second_run_of_a_request_is_counted_again():
-    begun = []
+def test_a_second_run_of_a_request_is_charged_again():
+    begun_runs = []
 
     async def closes_first(headers, writer, number):
-        begun.append(number)
-        return False if len(begun) == 1 else await respond_ok(headers, writer, number)
+        begun_runs.append(number)
+        return False if len(begun_runs) == 1 else await respond_ok(headers, writer, number)
 
     async def scenario():
-        plain = keyed(LIMITED)
-        made = [msgspec.structs.replace(route, public=False) for route in plain.routes]
-        configuration = msgspec.structs.replace(plain, routes=made)
+        base = routes_with_tenants(LIMITED_SHOP)
+        changed_routes = [msgspec.structs.replace(route, public=False) for route in base.routes]
+        configuration = msgspec.structs.replace(base, routes=changed_routes)
         async with world(closes_first, closes_first, configuration=configuration) as here:
-            leader = limited(here, GrantReply(True, 0.0, 0.8))
-            # Whichever replica is asked first breaks off, and the other one runs it again.
+            leader = with_scripted_leader(here, GrantReply(True, 0.0, 0.8))
+            # The replica chosen first interrupts the response, and the other one runs the request
+            # again.
             for number in range(6):
                 await (await here.caller()).request("safe", f"r{number}", headers=[KEY])
             ran = sum(len(replica.requests) for replica in here._replicas)
-            assert ran == 7 and len(leader.asked) == 7
+            assert ran == 7 and len(leader.requests) == 7
 
     run(scenario())
 
 
-def test_a_caller_that_leaves_while_its_units_are_asked_for_costs_no_run():
+def test_a_caller_that_disconnects_while_its_grant_is_pending_causes_no_run():
     async def scenario():
-        async with world(never_respond, configuration=keyed(LIMITED)) as here:
-            limited(here, GrantReply(True, 0.28, 0.8))
+        async with world(never_respond, configuration=routes_with_tenants(LIMITED_SHOP)) as here:
+            with_scripted_leader(here, GrantReply(True, 0.28, 0.8))
             caller = await here.caller()
             caller.send("once", headers=[KEY])
             await asyncio.sleep(0.1)
