--- a/src/crowsill_lab/bench/limits.py
+++ b/src/crowsill_lab/bench/limits.py
@@ -15,7 +15,7 @@
 from crowsill.model.tenants import Tenant
 from crowsill.routing.limits import TokenBucket
 from crowsill.tenancy.grant_ledger import GrantLedger, InheritedUse, QuotaBounds
-from crowsill_lab.windows import fullest_window
+from crowsill_lab.windows import max_events_in_window
 
 SECONDS = 120.0
 WINDOW_S = 4.0
@@ -177,8 +177,8 @@
         gateways,
         per_s,
         round(len(sent_s) / (per_s * SECONDS), 2),
-        round(fullest_window(sent_s, WINDOW_S) / (per_s * WINDOW_S), 2),
-        fullest_window(sent_s, BURST_S),
+        round(max_events_in_window(sent_s, WINDOW_S) / (per_s * WINDOW_S), 2),
+        max_events_in_window(sent_s, BURST_S),
         round(way.messages / SECONDS, 1),
     )
 
--- a/src/crowsill_lab/soak/limits.py
+++ b/src/crowsill_lab/soak/limits.py
@@ -8,23 +8,23 @@
 from typing import Protocol
 
 from crowsill_lab.soak.signal_ledger import GatewayLife
-from crowsill_lab.windows import fullest_window
+from crowsill_lab.windows import max_events_in_window
 
 # What is counted: any window of this length, from so long after a limit was named first, of
 # gateways that had passed it on so long before.
 WINDOW_S = 4.0
-CONTACT_S = 3.0
-TOLD_S = 0.5
+SETTLE_S = 3.0
+GATEWAY_SETTLE_S = 0.5
 RATES_PER_S = (0.5, 1.0, 2.0, 5.0)
 SHORTEST_LIMIT_S = 6.0
 LONGEST_LIMIT_S = 14.0
 LONGEST_PAUSE_S = 4.0
 
 
-def allowed(per_s: float) -> float:
+def max_requests_in_window(per_s: float) -> float:
     """Return the requests that a replica may get in a window.
 
-    >>> allowed(1.0)
+    >>> max_requests_in_window(1.0)
     11.0
     """
     return 1.5 * WINDOW_S * per_s + 5.0
@@ -51,10 +51,10 @@
         counted_s = [
             at_s
             for at_s, gateway in self.arrivals
-            if at_s >= self.told_s.get(gateway, float("inf")) + TOLD_S
-            and at_s >= self.since_s + CONTACT_S
+            if at_s >= self.told_s.get(gateway, float("inf")) + GATEWAY_SETTLE_S
+            and at_s >= self.since_s + SETTLE_S
         ]
-        return fullest_window(counted_s, WINDOW_S)
+        return max_events_in_window(counted_s, WINDOW_S)
 
 
 @dataclass(slots=True)
@@ -99,9 +99,9 @@
         """Return which limits were not kept."""
         return [
             f"{life} names {naming.per_s:g} a second and got {naming.fullest()} requests in "
-            f"{WINDOW_S:g} s, {allowed(naming.per_s):g} allowed"
+            f"{WINDOW_S:g} s, {max_requests_in_window(naming.per_s):g} allowed"
             for life, naming in self._namings
-            if naming.fullest() > allowed(naming.per_s)
+            if naming.fullest() > max_requests_in_window(naming.per_s)
         ]
 
 
--- a/tests/patterns/test_engines_that_name_a_limit.py
+++ b/tests/patterns/test_engines_that_name_a_limit.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from crowsill_lab.soak.limits import WINDOW_S, allowed
-from crowsill_lab.windows import fullest_window
+from crowsill_lab.soak.limits import WINDOW_S, max_requests_in_window
+from crowsill_lab.windows import max_events_in_window
 from tests.patterns.engine_site import NamedLimits, popular_site
 
 FROM_S, TO_S = 5.0, 20.0
@@ -34,7 +34,9 @@
 def test_the_others_serve_what_engines_with_a_limit_do_not_take(seed):
     outcome = play(seed, 18, 1.0)
     sent_s = sent_to_limited(outcome, 18)
-    assert max(fullest_window(times_s, WINDOW_S) for times_s in sent_s.values()) <= allowed(1.0)
+    assert max(
+        max_events_in_window(times_s, WINDOW_S) for times_s in sent_s.values()
+    ) <= max_requests_in_window(1.0)
     # A model may have no other holder.
     assert outcome.refused <= outcome.asked // 500 and outcome.in_time_share > 0.97
 
@@ -42,6 +44,8 @@
 def test_what_the_limits_of_all_engines_leave_is_used():
     outcome = play(1, 60, 3.0)
     sent_s = sent_to_limited(outcome, 60)
-    assert max(fullest_window(times_s, WINDOW_S) for times_s in sent_s.values()) <= allowed(3.0)
+    assert max(
+        max_events_in_window(times_s, WINDOW_S) for times_s in sent_s.values()
+    ) <= max_requests_in_window(3.0)
     used = sum(map(len, sent_s.values())) / (60 * 3.0 * (TO_S - SETTLED_S))
     assert used >= 0.9
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -17,8 +17,8 @@
 from crowsill.routing.advertised_limit import RAMP_STEP_S, RAMP_STEPS, AdvertisedLimit
 from crowsill.tenancy.grant_ledger import GRANT_LIFETIME_S
 from crowsill.transport.messages import GrantReply
-from crowsill_lab.soak.limits import CONTACT_S, TOLD_S, WINDOW_S, allowed
-from crowsill_lab.windows import fullest_window
+from crowsill_lab.soak.limits import GATEWAY_SETTLE_S, SETTLE_S, WINDOW_S, max_requests_in_window
+from crowsill_lab.windows import max_events_in_window
 from tests.gateway_world import ID as LOCAL_ID
 from tests.gateway_world import encode_response, respond_ok, run, world
 from tests.platform_site import ID, StandInReplica
@@ -67,10 +67,10 @@
         counted_s = [
             at_s
             for at_s, gateway in self.arrivals
-            if at_s >= self.limit_set_at_s + CONTACT_S
-            and at_s >= self.first_reported_at_s.get(gateway, float("inf")) + TOLD_S
+            if at_s >= self.limit_set_at_s + SETTLE_S
+            and at_s >= self.first_reported_at_s.get(gateway, float("inf")) + GATEWAY_SETTLE_S
         ]
-        return fullest_window(counted_s, WINDOW_S)
+        return max_events_in_window(counted_s, WINDOW_S)
 
 
 @pytest.mark.parametrize(
@@ -122,7 +122,7 @@
         answers = asyncio.run(scenario(site, replicas))
     fullest = [replica.fullest_window() for replica in replicas[:2]]
     assert all(replica.first_reported_at_s for replica in replicas[:2]), "no limit was advertised"
-    assert max(fullest) <= allowed(1.0), f"{max(fullest)} requests in {WINDOW_S} s"
+    assert max(fullest) <= max_requests_in_window(1.0), f"{max(fullest)} requests in {WINDOW_S} s"
     # Half of the replicas can take all requests, so none is rejected because of the others.
     unserved = sum(status != 200 for _, _, status, _, _ in answers)
     assert unserved <= len(answers) // 50, f"{unserved} of {len(answers)} were not served"
@@ -138,9 +138,9 @@
     with site_of_three(tmp_path) as site:
         replicas = [LimitedReplica(site, number, "till") for number in range(2)]
         answers = asyncio.run(scenario(site, replicas))
-    assert max(replica.fullest_window() for replica in replicas) <= allowed(5.0)
-    measured_s = PLAYED_S - CONTACT_S
-    used = sum(replica.arrived(CONTACT_S, PLAYED_S) for replica in replicas)
+    assert max(replica.fullest_window() for replica in replicas) <= max_requests_in_window(5.0)
+    measured_s = PLAYED_S - SETTLE_S
+    used = sum(replica.arrived(SETTLE_S, PLAYED_S) for replica in replicas)
     assert used >= 0.9 * 2 * 5.0 * measured_s, f"{used} requests in {measured_s} s"
     rejected = [
         (end_s - sent_s, headers) for sent_s, end_s, status, _, headers in answers if status == 503
@@ -188,7 +188,7 @@
     with site_of_three(tmp_path) as site:
         replicas = [LimitedReplica(site, number, "till") for number in range(2)]
         answers = asyncio.run(scenario(site, replicas))
-    assert max(replica.fullest_window() for replica in replicas) <= allowed(2.0)
+    assert max(replica.fullest_window() for replica in replicas) <= max_requests_in_window(2.0)
     last_s = max(end_s for _, end_s, _, _, _ in answers) - 1.5
     served = sum(status == 200 and end_s > last_s for _, end_s, status, _, _ in answers)
     assert served >= 2, "the next leader granted nothing"
@@ -377,7 +377,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_all_gateways_together_are_granted_no_more_than_the_limit_in_any_window(seed, per_s):
     arrived_s = granted_arrivals_s(seed, per_s, gateways=90)
-    assert fullest_window(arrived_s, WINDOW_S) <= allowed(per_s)
+    assert max_events_in_window(arrived_s, WINDOW_S) <= max_requests_in_window(per_s)
 
 
 def test_rejected_requests_get_retry_times_one_after_the_other():
