--- a/src/crowsill/cli/main.py
+++ b/src/crowsill/cli/main.py
@@ -240,8 +240,8 @@
         marks = f", replaces {member.replaces}" if member.replaces else ""
         state = f"{role}, {member.behind} entries behind, silent {member.silent_s} s{marks}"
         typer.echo(f"{member.name:16} {member.address:22} {member.member_id:32} {state}")
-    typer.echo("the group is whole" if report.whole else "THE GROUP IS NOT WHOLE")
-    typer.echo(report.at_risk)
+    typer.echo("the group is whole" if report.is_fully_replicated else "THE GROUP IS NOT WHOLE")
+    typer.echo(report.risk)
 
 
 def _change_members(settings: Path, request: MembersRequest) -> None:
@@ -262,7 +262,7 @@
         echo_json(report)
     else:
         _show_members(report)
-    if not report.whole:
+    if not report.is_fully_replicated:
         raise typer.Exit(1)
 
 
--- a/src/crowsill/control/announcer.py
+++ b/src/crowsill/control/announcer.py
@@ -25,7 +25,7 @@
 from crowsill.transport.leader_client import format_address, parse_address
 from crowsill.transport.membership_messages import GroupReferral
 from crowsill.transport.messages import Pong, Submitted
-from crowsill.transport.question import ask_once
+from crowsill.transport.query import query_once
 from crowsill.transport.stream import LocalIdentity
 
 # Interval of the search for processes that are out of contact.
@@ -149,7 +149,7 @@
 
     async def _announce(self, address: Address, announcement: _Announcement) -> None:
         members = [format_address(member) for member in self._ports.members()]
-        reply = await ask_once(address, GroupReferral(members), self._local, REPLY_TIMEOUT_S)
+        reply = await query_once(address, GroupReferral(members), self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, Pong):
             announcement.next_at_s = monotonic_s() + ACKNOWLEDGED_PAUSE_S
             announcement.pause_s = INITIAL_PAUSE_S
--- a/src/crowsill/control/bootstrap.py
+++ b/src/crowsill/control/bootstrap.py
@@ -12,19 +12,21 @@
 from crowsill.consensus.messages import EntryKind, LogEntry
 from crowsill.consensus.types import HardState, Ready
 from crowsill.settings import Address, PeerSettings
-from crowsill.transport.membership_messages import BlankCheck, MemberBlank
-from crowsill.transport.question import ask_once
+from crowsill.transport.membership_messages import EmptyCheck, EmptyCheckReply
+from crowsill.transport.query import query_once
 from crowsill.transport.stream import LocalIdentity
 
 RETRY_INTERVAL_S = 0.2
 REPLY_TIMEOUT_S = 2.0
 
 
-async def check_if_empty(peer: PeerSettings | Address, local: LocalIdentity) -> MemberBlank | None:
+async def check_if_empty(
+    peer: PeerSettings | Address, local: LocalIdentity
+) -> EmptyCheckReply | None:
     """Query a control member's identity and whether it is empty; None without a response."""
     target = Address(peer.host, peer.port)
-    reply = await ask_once(target, BlankCheck(), local, REPLY_TIMEOUT_S)
-    return reply if isinstance(reply, MemberBlank) else None
+    reply = await query_once(target, EmptyCheck(), local, REPLY_TIMEOUT_S)
+    return reply if isinstance(reply, EmptyCheckReply) else None
 
 
 async def agree_on_initial_members(
@@ -47,7 +49,7 @@
             if peer.name in identities:
                 continue
             reply = await check_if_empty(peer, local)
-            if reply is not None and not reply.is_blank:
+            if reply is not None and not reply.is_empty:
                 return None
             if reply is not None:
                 identities[peer.name] = reply.identity
@@ -73,7 +75,7 @@
     ordered = sorted(seeds, key=lambda seed: (seed.host, seed.port))
     if own not in ordered:
         return None
-    replies = {own: MemberBlank(local.identity, is_blank=True)}
+    replies = {own: EmptyCheckReply(local.identity, is_empty=True)}
     while len(replies) < len(ordered):
         for seed in ordered:
             if seed in replies:
@@ -82,7 +84,7 @@
             if reply is None:
                 continue
             comes_first = ordered.index(seed) < ordered.index(own)
-            if not reply.is_blank or (comes_first and reply.may_vote):
+            if not reply.is_empty or (comes_first and reply.may_vote):
                 return None
             replies[seed] = reply
         if len(replies) < len(ordered):
--- a/src/crowsill/control/crash_commands.py
+++ b/src/crowsill/control/crash_commands.py
@@ -11,7 +11,7 @@
     ClearSuspects(fingerprints=[b'f'], reason='answered whole', at_s=0.0, completed_ago_s=[2.0])
     """
     if isinstance(request, ReportCrash):
-        return RecordCrash(request.life, request.requests, request.ago_s)
+        return RecordCrash(request.instance_id, request.requests, request.ago_s)
     return ClearSuspects(
-        request.fingerprints, "answered whole", completed_ago_s=request.whole_ago_s
+        request.fingerprints, "answered whole", completed_ago_s=request.completed_ago_s
     )
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -26,7 +26,7 @@
 )
 from crowsill.state.machine import StateMachine
 from crowsill.storage.journal import Journal
-from crowsill.transport.messages import NotLeader, Submitted, Undecided
+from crowsill.transport.messages import NotLeader, OutcomeUnknown, Submitted
 
 SNAPSHOT_JOURNAL_BYTES = 16 * 1024 * 1024
 SNAPSHOT_RETAINED_ENTRIES = 500
@@ -37,7 +37,7 @@
 SLOW_SAVE_THRESHOLD_S = 0.3
 STALL_THRESHOLD_S = 0.3
 
-SubmitResult = Submitted | NotLeader | Undecided
+SubmitResult = Submitted | NotLeader | OutcomeUnknown
 
 
 @dataclass(slots=True)
@@ -306,7 +306,7 @@
     def _fail_pending(self) -> None:
         for batch in self._proposed.values():
             for pending in batch.commands:
-                _resolve_command(pending, Undecided())
+                _resolve_command(pending, OutcomeUnknown())
         self._proposed.clear()
         for pending in self._queue:
             _resolve_command(pending, NotLeader(self.leader_address()))
--- a/src/crowsill/control/gateway_reports.py
+++ b/src/crowsill/control/gateway_reports.py
@@ -33,7 +33,7 @@
         self.live_entries.note(heartbeat.entries, now_s)
         self.demand.add(heartbeat.demand)
         self.urgent.add(heartbeat.urgent)
-        self.overloaded.add(heartbeat.pressed)
+        self.overloaded.add(heartbeat.overloaded)
         self.replica_grants.note(heartbeat.limits)
 
     def total_use(self, is_leader: bool, now_s: float) -> UseByReplica | None:
@@ -60,7 +60,7 @@
             demand=self.demand.collect(),
             follows_configuration=False,
             urgent=self.urgent.collect(),
-            pressed=self.overloaded.collect(),
+            overloaded=self.overloaded.collect(),
             in_use=self.use.sum(now_s) if is_due else None,
             limits=self.replica_grants.to_reports() if is_due else [],
         )
--- a/src/crowsill/control/joining.py
+++ b/src/crowsill/control/joining.py
@@ -12,7 +12,7 @@
 from crowsill.transport.leader_client import parse_address
 from crowsill.transport.membership_messages import JoinReply, JoinRequest
 from crowsill.transport.messages import NotLeader
-from crowsill.transport.question import ask_leader
+from crowsill.transport.query import query_leader
 from crowsill.transport.stream import LocalIdentity
 
 CHECK_INTERVAL_S = 0.1
@@ -74,7 +74,7 @@
 
     async def _request_join(self, target: Address) -> bool:
         request = JoinRequest(self._local.identity, self._own.host, self._own.port)
-        _, reply = await ask_leader(target, request, self._local, REPLY_TIMEOUT_S)
+        _, reply = await query_leader(target, request, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
             self._contacts.refer([parse_address(member) for member in reply.members])
         if not isinstance(reply, JoinReply) or not reply.accepted:
--- a/src/crowsill/control/members.py
+++ b/src/crowsill/control/members.py
@@ -108,7 +108,7 @@
             return f"no control member responds at {request.host}:{request.port}"
         if self._find(state.identity) is not None:
             return ""  # A repeated request: it is a member already.
-        if not state.is_blank:
+        if not state.is_empty:
             return "the machine holds the state of another member; empty its data folder first"
         name = state.identity.rpartition(".")[0]
         learner = Member(state.identity, name, request.host, request.port, False, replaces)
--- a/src/crowsill/control/operations.py
+++ b/src/crowsill/control/operations.py
@@ -200,8 +200,8 @@
         reply = await self._query_leader(request)
         if not isinstance(reply, MembersReport):
             return Failure(Problem(ErrorKind.NO_LEADER, "no leader responded; try again"))
-        if reply.refusal:
-            return Failure(Problem(ErrorKind.INVALID_REQUEST, reply.refusal))
+        if reply.rejection:
+            return Failure(Problem(ErrorKind.INVALID_REQUEST, reply.rejection))
         return Success(reply)
 
     def quarantine(self) -> list[QuarantineLine]:
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -24,9 +24,14 @@
 from crowsill.transport.connection import Connection, ConnectionServer
 from crowsill.transport.group_contacts import GroupContacts
 from crowsill.transport.leader_client import format_address, parse_address
-from crowsill.transport.membership_messages import BlankCheck, FindGroup, GroupReferral, MemberBlank
+from crowsill.transport.membership_messages import (
+    EmptyCheck,
+    EmptyCheckReply,
+    FindGroup,
+    GroupReferral,
+)
 from crowsill.transport.messages import Body, NotLeader
-from crowsill.transport.question import ask_leader
+from crowsill.transport.query import query_leader
 from crowsill.transport.stream import LocalIdentity
 
 # Interval of the search while no leader is known; a start takes about a second.
@@ -97,7 +102,7 @@
     async def _query(self, target: Address) -> Address | None:
         """Query one process and the one that it refers to; return the leader's address."""
         question = FindGroup(format_address(self._own))
-        leader, reply = await ask_leader(target, question, self._local, REPLY_TIMEOUT_S)
+        leader, reply = await query_leader(target, question, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
             self.contacts.refer([parse_address(member) for member in reply.members])
         if not isinstance(reply, GroupReferral):
@@ -178,8 +183,8 @@
         self._locator.contacts.seeds = control.seeds
 
     async def _on_request(self, connection: Connection, body: Body) -> Body:
-        if isinstance(body, BlankCheck):
-            return MemberBlank(identity="", is_blank=True, may_vote=False)
+        if isinstance(body, EmptyCheck):
+            return EmptyCheckReply(identity="", is_empty=True, may_vote=False)
         locator = self._locator
         if isinstance(body, GroupReferral):
             acknowledgement = accept_referral(locator.contacts, connection, body)
--- a/src/crowsill/control/replica_grants.py
+++ b/src/crowsill/control/replica_grants.py
@@ -64,8 +64,8 @@
         if self._term != driver.node.term:
             self._term = driver.node.term
             self.limits.begin_term(monotonic_s())
-        self.note([request.word])
-        instance_id = request.word.instance_id
+        self.note([request.report])
+        instance_id = request.report.instance_id
         decision = self.limits.grant(instance_id, monotonic_s(), request.is_urgent)
         # The lease is checked after the grant is counted: a leader suspended before this line may
         # have a successor that grants the same requests.
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -137,7 +137,7 @@
             self._backends = HttpControl(self._control.platform_list)
         service = MemberService(
             self._local,
-            recovered.is_blank,
+            recovered.is_empty,
             self._subscribers,
             self._links,
             self._contacts,
@@ -170,7 +170,7 @@
         return Success(None)
 
     async def _run_member(self, recovered: RecoveredState, service: MemberService) -> None:
-        if recovered.is_blank:
+        if recovered.is_empty:
             membership = await self._agree_on_group()
             if membership is not None:
                 ready = first_state(membership)
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -24,18 +24,18 @@
 from crowsill.transport.leader_client import format_address
 from crowsill.transport.member_links import MemberLinks
 from crowsill.transport.membership_messages import (
-    BlankCheck,
+    EmptyCheck,
+    EmptyCheckReply,
     FindGroup,
     GroupReferral,
     JoinReply,
     JoinRequest,
-    MemberBlank,
     MembersRequest,
 )
 from crowsill.transport.messages import (
     Body,
     ConsensusTraffic,
-    Currency,
+    Freshness,
     GrantRequest,
     Heartbeat,
     MemberBehind,
@@ -47,7 +47,7 @@
 from crowsill.transport.replica_messages import (
     ClearRequests,
     DemandNotice,
-    LeavingInstances,
+    DrainingInstances,
     ReplicaGrantRequest,
     ReplicaLimitsNotice,
     ReportCrash,
@@ -138,7 +138,7 @@
 
     async def on_request(self, connection: Connection, body: Body) -> Body:
         """Handle a request and return the response."""
-        if isinstance(body, Ping | BlankCheck | GroupReferral):
+        if isinstance(body, Ping | EmptyCheck | GroupReferral):
             return self._handle_locally(connection, body)
         driver = self.driver
         if driver is None:
@@ -170,14 +170,14 @@
         return GroupReferral([format_address(address) for address in member_addresses(driver)])
 
     def _handle_locally(
-        self, connection: Connection, request: Ping | BlankCheck | GroupReferral
-    ) -> Pong | MemberBlank:
+        self, connection: Connection, request: Ping | EmptyCheck | GroupReferral
+    ) -> Pong | EmptyCheckReply:
         """Handle a request that needs no group."""
         if isinstance(request, GroupReferral):
             return accept_referral(self._contacts, connection, request)
         if isinstance(request, Ping):
             return Pong()
-        return MemberBlank(self._local.identity, self._is_empty())
+        return EmptyCheckReply(self._local.identity, self._is_empty())
 
     async def handle_as_leader(
         self, request: SubmitCommand | MembersRequest, driver: ConsensusDriver
@@ -224,7 +224,7 @@
             return NotLeader(None)
         return await stream.request(request, FORWARD_TIMEOUT_S)
 
-    async def confirmed_freshness(self) -> Currency | None:
+    async def confirmed_freshness(self) -> Freshness | None:
         """Return the current versions, confirmed after this call by the lease of a leader."""
         freshness = self.own_freshness()
         return freshness if freshness is not None else await self._relay.confirm()
@@ -248,10 +248,10 @@
             self._zones[connection.peer.identity] = connection.peer.zone
             self.driver.receive(body.envelopes)
         elif isinstance(body, DemandNotice):
-            self.on_waiting(body.wanted)
+            self.on_waiting(body.missing)
         elif isinstance(body, SeenInstances):
             self.liveness.note_heartbeats(body.instance_ids)
-        elif isinstance(body, LeavingInstances):
+        elif isinstance(body, DrainingInstances):
             self.draining.note(body.instance_ids)
         elif isinstance(body, SuspectInstances):
             self.liveness.note_suspects(body.instance_ids)
@@ -260,7 +260,7 @@
 
     def _note_limits(self, notice: ReplicaLimitsNotice) -> None:
         """Record the limits that replicas advertised to a gateway; a follower pushes them on."""
-        self.reports.replica_grants.note(notice.words)
+        self.reports.replica_grants.note(notice.reports)
         self._push_to_leader(notice)
 
     def _push_to_leader(
@@ -321,7 +321,7 @@
         in_use = self.reports.total_use(driver.is_leader, monotonic_s())
         return msgspec.structs.replace(freshness, in_use=in_use)
 
-    async def has_applied(self, freshness: Currency, deadline_at_s: float) -> bool:
+    async def has_applied(self, freshness: Freshness, deadline_at_s: float) -> bool:
         """Wait until this member has applied the confirmed state; return False on a time-out.
 
         Args:
@@ -334,7 +334,7 @@
             await asyncio.sleep(APPLY_POLL_INTERVAL_S)
         return True
 
-    def _has_applied(self, freshness: Currency) -> bool:
+    def _has_applied(self, freshness: Freshness) -> bool:
         if self.driver is None:
             return False
         machine = self.driver.machine
@@ -360,7 +360,7 @@
         stream = self.leader_stream
         return stream is not None and not stream.is_closed
 
-    def own_freshness(self) -> Currency | None:
+    def own_freshness(self) -> Freshness | None:
         """Return the current versions by this member's own lease; None without a lease."""
         driver = self.driver
         if driver is None or not driver.has_lease():
@@ -375,7 +375,7 @@
             machine.directory.version,
             machine.crashes.version,
         )
-        freshness = Currency(
+        freshness = Freshness(
             revision,
             entries,
             [f"{member.host}:{member.port}" for member in members],
@@ -385,7 +385,7 @@
         )
         return freshness if driver.has_lease() else None
 
-    async def _query_leader(self) -> Currency | None:
+    async def _query_leader(self) -> Freshness | None:
         stream = self.leader_stream
         if stream is None or stream.is_closed:
             return None
@@ -398,7 +398,7 @@
             # The stream may be silent for good, so the next request uses a new one.
             stream.close()
             return None
-        if not isinstance(reply, Currency):
+        if not isinstance(reply, Freshness):
             return None
         self.reports.replica_grants.note(reply.limits)
         if reply.in_use is None:
--- a/src/crowsill/control/subscribers.py
+++ b/src/crowsill/control/subscribers.py
@@ -19,10 +19,10 @@
 from crowsill.transport.connection import Connection, encode_push
 from crowsill.transport.messages import (
     ConfigurationUpdate,
-    Currency,
     DirectoryUpdate,
     EntryStatus,
     FleetUpdate,
+    Freshness,
     Heartbeat,
     RoutesUpdate,
 )
@@ -191,18 +191,20 @@
     A confirmation is valid for a heartbeat only if it was requested after the heartbeat arrived.
     """
 
-    def __init__(self, query_leader: Callable[[], Awaitable[Currency | None]]) -> None:
+    def __init__(self, query_leader: Callable[[], Awaitable[Freshness | None]]) -> None:
         self._query_leader = query_leader
-        self._running: asyncio.Task[Currency | None] | None = None
-        self._next: asyncio.Task[Currency | None] | None = None
+        self._running: asyncio.Task[Freshness | None] | None = None
+        self._next: asyncio.Task[Freshness | None] | None = None
 
-    async def confirm(self) -> Currency | None:
+    async def confirm(self) -> Freshness | None:
         """Return the current versions, or None if no leader confirms them."""
         if self._next is None:
             self._next = asyncio.create_task(self._query_after(self._running))
         return await asyncio.shield(self._next)
 
-    async def _query_after(self, previous: asyncio.Task[Currency | None] | None) -> Currency | None:
+    async def _query_after(
+        self, previous: asyncio.Task[Freshness | None] | None
+    ) -> Freshness | None:
         if previous is not None and not previous.done():
             await asyncio.wait([previous])
         self._running, self._next = self._next, None
--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -27,9 +27,9 @@
 from crowsill.transport.messages import (
     Body,
     ConfigurationUpdate,
-    Currency,
     EntryStatus,
     FleetUpdate,
+    Freshness,
     Heartbeat,
     NotLeader,
 )
@@ -136,7 +136,7 @@
             return False
         if isinstance(reply, NotLeader):
             self._contacts.refer([parse_address(member) for member in reply.members])
-        if not isinstance(reply, Currency):
+        if not isinstance(reply, Freshness):
             self.demand.add(demand)
             return False
         self._contacts.found()
--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -26,9 +26,9 @@
 from crowsill.transport.leader_client import parse_address
 from crowsill.transport.messages import (
     Body,
-    Currency,
     DirectoryUpdate,
     EntryStatus,
+    Freshness,
     GrantRequest,
     Heartbeat,
     NotLeader,
@@ -37,7 +37,7 @@
 from crowsill.transport.replica_messages import (
     ClearRequests,
     DemandNotice,
-    LeavingInstances,
+    DrainingInstances,
     ReplicaGrantRequest,
     ReplicaLimitsNotice,
     ReportCrash,
@@ -115,7 +115,7 @@
         self._prefer_own_zone_at_s = monotonic_s() + ZONE_SWITCH_SPREAD_S * random.random()
         self._is_switching_zone = False
         # Versions that the group confirmed as current, until the gateway has received all of them.
-        self._pending_freshness: Currency | None = None
+        self._pending_freshness: Freshness | None = None
         self._heartbeat_sent_at_s = 0.0
 
     def use_seeds(self, seeds: list[Address]) -> None:
@@ -217,7 +217,7 @@
             directory_version=self.registry.version,
             suspects_version=self._guard.version,
             urgent=urgent,
-            pressed=overloaded,
+            overloaded=overloaded,
             in_use=in_use,
             limits=self.registry.limit_reports(monotonic_s()),
         )
@@ -230,7 +230,7 @@
             # Unverified addresses: a process that restarted without state may have no others.
             referred = [*([] if reply.leader is None else [reply.leader]), *reply.members]
             self._contacts.refer([parse_address(member) for member in referred])
-        if not isinstance(reply, Currency):
+        if not isinstance(reply, Freshness):
             # The counts are dropped. Sent later, they would look like a burst of requests.
             return False
         self.registry.note_limit_reports(reply.limits, monotonic_s())
@@ -249,7 +249,7 @@
         self._report_if_current()
         return True
 
-    def _log_pending_freshness(self, connection: Connection, freshness: Currency) -> None:
+    def _log_pending_freshness(self, connection: Connection, freshness: Freshness) -> None:
         """Log that versions confirmed by one heartbeat were still missing at the next one."""
         log_event(
             Event.ROUTES_AWAITED,
@@ -273,7 +273,7 @@
         self._hooks.on_current(max(1, freshness.entries), self._heartbeat_sent_at_s)
 
     def send_notice(
-        self, notice: DemandNotice | SuspectInstances | LeavingInstances | ReplicaLimitsNotice
+        self, notice: DemandNotice | SuspectInstances | DrainingInstances | ReplicaLimitsNotice
     ) -> bool:
         """Send a notice to the group without waiting; return whether it could be sent."""
         connection = self._connection
@@ -304,8 +304,8 @@
             self._hooks.on_routes(body.document)
         elif isinstance(body, DirectoryUpdate):
             # Same clock as the event loop's, which times requests.
-            dropped_ids = self.registry.adopt(body.change, body.whole, monotonic_s())
+            dropped_ids = self.registry.adopt(body.change, body.is_full, monotonic_s())
             self._hooks.on_directory(dropped_ids)
         elif isinstance(body, SuspectsUpdate):
-            self._hooks.on_suspects(body.change, body.whole)
+            self._hooks.on_suspects(body.change, body.is_full)
         self._report_if_current()
--- a/src/crowsill/gateway/pool.py
+++ b/src/crowsill/gateway/pool.py
@@ -7,7 +7,7 @@
 from crowsill.gateway.replica_connection import ReplicaConnection
 from crowsill.model.instances import Instance
 from crowsill.transport.leader_client import parse_address
-from crowsill.transport.sockets import bound_silence
+from crowsill.transport.sockets import set_peer_timeout
 
 CONNECT_TIMEOUT_S = 1.0
 SILENCE_TIMEOUT_S = 2.0
@@ -115,7 +115,7 @@
             transport, connection = await self._loop.create_connection(
                 lambda: ReplicaConnection(self._names), address.host, address.port
             )
-        bound_silence(transport, SILENCE_TIMEOUT_S)
+        set_peer_timeout(transport, SILENCE_TIMEOUT_S)
         return connection
 
     def release(self, instance_id: str, connection: ReplicaConnection, reusable: bool) -> None:
--- a/src/crowsill/gateway/replica_watch.py
+++ b/src/crowsill/gateway/replica_watch.py
@@ -8,7 +8,7 @@
 from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.logs import log_event
 from crowsill.model.instances import InstanceState
-from crowsill.transport.replica_messages import LeavingInstances, SuspectInstances
+from crowsill.transport.replica_messages import DrainingInstances, SuspectInstances
 
 RECONNECT_S = 0.5
 RECONNECT_TIMEOUT_S = 1.0
@@ -23,7 +23,7 @@
         self,
         registry: ReplicaRegistry,
         pool: ConnectionPool,
-        notify: Callable[[SuspectInstances | LeavingInstances], bool],
+        notify: Callable[[SuspectInstances | DrainingInstances], bool],
         on_change: Callable[[], None],
     ) -> None:
         """Create a watch.
@@ -98,7 +98,7 @@
             self._registry.find(instance_id) is record
             and record.listed_state is InstanceState.READY
         ):
-            self._notify(LeavingInstances([instance_id]))
+            self._notify(DrainingInstances([instance_id]))
             await asyncio.sleep(DRAIN_REPORT_INTERVAL_S)
 
     def _start_task(self, work: Coroutine[None, None, None]) -> None:
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -36,7 +36,7 @@
 from crowsill.state.route_store import RouteDocument
 from crowsill.tenancy.identity import is_key_proof_fresh
 from crowsill.transport.replica_messages import ReplicaLimitsNotice
-from crowsill.transport.sockets import bound_silence
+from crowsill.transport.sockets import set_peer_timeout
 from crowsill.transport.stream import LocalIdentity
 
 BACKLOG = 1024
@@ -290,7 +290,7 @@
             return
         self._callers.add(connection)
         if connection.transport is not None:
-            bound_silence(connection.transport, CALLER_SILENCE_TIMEOUT_S)
+            set_peer_timeout(connection.transport, CALLER_SILENCE_TIMEOUT_S)
 
     def on_disconnected(self, connection: CallerConnection) -> None:
         """Cancel the exchange of a caller that disconnected."""
--- a/src/crowsill/storage/journal.py
+++ b/src/crowsill/storage/journal.py
@@ -63,7 +63,7 @@
     cut_bytes: int
 
     @property
-    def is_blank(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether the member has never stored anything."""
         blank_state = self.hard_state == HardState() and self.snapshot is None
         return blank_state and self.log.last_index == 0
--- a/src/crowsill/transport/connection.py
+++ b/src/crowsill/transport/connection.py
@@ -9,7 +9,7 @@
 from crowsill.logs import log_event
 from crowsill.metrics import CONTROL_BYTES
 from crowsill.transport.messages import Body, Frame
-from crowsill.transport.sockets import bound_silence
+from crowsill.transport.sockets import set_peer_timeout
 from crowsill.transport.stream import (
     HANDSHAKE_TIMEOUT_S,
     LocalIdentity,
@@ -132,10 +132,10 @@
 
     def _take(self, frame: Frame) -> None:
         if frame.is_reply:
-            future = self._waiting.get(frame.correlation)
+            future = self._waiting.get(frame.correlation_id)
             if future is not None and not future.done():
                 future.set_result(frame.body)
-        elif frame.correlation and self._on_request is not None:
+        elif frame.correlation_id and self._on_request is not None:
             task = asyncio.create_task(self._answer(frame))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -151,7 +151,7 @@
             log_event(Event.INTERNAL_ERROR, where="connection", error=repr(error))
             self.close()
             return
-        self._write(Frame(frame.correlation, True, body))
+        self._write(Frame(frame.correlation_id, True, body))
 
     def close(self) -> None:
         """Close the stream; pending requests fail."""
@@ -182,7 +182,7 @@
     async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
-        bound_silence(writer.transport, PEER_SILENCE_S)
+        set_peer_timeout(writer.transport, PEER_SILENCE_S)
         try:
             peer = await connect_handshake(reader, writer, local)
         except (asyncio.IncompleteReadError, ProtocolError) as error:
@@ -218,7 +218,7 @@
         return bound
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        bound_silence(writer.transport, PEER_SILENCE_S)
+        set_peer_timeout(writer.transport, PEER_SILENCE_S)
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 peer = await accept_handshake(reader, writer, self._local)
--- a/src/crowsill/transport/group_contacts.py
+++ b/src/crowsill/transport/group_contacts.py
@@ -11,7 +11,7 @@
 from crowsill.settings import Address
 
 # Addresses that were told by processes other than a leader: beyond so many the oldest is dropped.
-MOST_REFERRED = 16
+MAX_REFERRALS = 16
 # A search that lasts longer is logged, then once in so long: a group elects within a second.
 LOG_AFTER_S = 2.0
 LOG_INTERVAL_S = 5.0
@@ -67,7 +67,7 @@
         """
         known = {*self.members, *self._referred}
         fresh = [address for address in addresses if address not in known]
-        self._referred = [*self._referred, *fresh][-MOST_REFERRED:]
+        self._referred = [*self._referred, *fresh][-MAX_REFERRALS:]
         return bool(fresh)
 
     def known(self) -> list[Address]:
--- a/src/crowsill/transport/leader_client.py
+++ b/src/crowsill/transport/leader_client.py
@@ -14,7 +14,7 @@
 from crowsill.settings import Address
 from crowsill.transport.backoff import Backoff
 from crowsill.transport.connection import Connection, ConnectionLostError, open_connection
-from crowsill.transport.messages import Body, NotLeader, SubmitCommand, Submitted, Undecided
+from crowsill.transport.messages import Body, NotLeader, OutcomeUnknown, SubmitCommand, Submitted
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
 FIRST_RETRY_S = 0.02
@@ -102,7 +102,7 @@
             return None
         if isinstance(reply, Submitted):
             self._leader = address
-        elif isinstance(reply, Undecided):
+        elif isinstance(reply, OutcomeUnknown):
             self._leader = None
         return reply
 
--- a/src/crowsill/transport/membership_messages.py
+++ b/src/crowsill/transport/membership_messages.py
@@ -1,30 +1,30 @@
-"""Messages about the members of the control group: who they are, and how a process joins."""
+"""Messages about the members of the control group, and for joining it."""
 
 from enum import StrEnum
 
 import msgspec
 
 
-class BlankCheck(msgspec.Struct, frozen=True, tag="blank-check"):
-    """The first member of a new group asks whether this one has ever stored anything."""
+class EmptyCheck(msgspec.Struct, frozen=True, tag="blank-check"):
+    """Queries whether a control process is empty: whether it has never stored any state."""
 
 
-class MemberBlank(msgspec.Struct, frozen=True, tag="member-blank"):
-    """The answer to `BlankCheck`.
+class EmptyCheckReply(msgspec.Struct, frozen=True, tag="member-blank"):
+    """The response to `EmptyCheck`.
 
     Attributes:
-        identity: Identity bound to the disk; empty without one.
-        is_blank: Whether nothing was stored yet.
-        may_vote: Whether the process has a disk, so that it may become a member.
+        identity: Identity stored in the data folder; an empty string if there is no data folder.
+        is_empty: Whether no state has been stored yet.
+        may_vote: Whether the process has a data folder and thus may become a member.
     """
 
     identity: str
-    is_blank: bool
+    is_empty: bool = msgspec.field(name="is_blank")
     may_vote: bool = True
 
 
 class MemberAction(StrEnum):
-    """What an operator asks for a control member."""
+    """An operator's action on the members of the control group."""
 
     LIST = "list"
     ADD = "add"
@@ -33,12 +33,12 @@
 
 
 class MembersRequest(msgspec.Struct, frozen=True, tag="members"):
-    """Look at or change the group; only the leader can.
+    """List or change the members of the group; only the leader can do so.
 
     Attributes:
-        action: What is asked.
-        name: Member that is removed or replaced; the new member's name for `add`.
-        host: IP number of the new member.
+        action: The requested action.
+        name: Member to remove or replace; for `add`, name of the new member.
+        host: IP address of the new member.
         port: Port of the new member.
     """
 
@@ -49,17 +49,17 @@
 
 
 class MemberReport(msgspec.Struct, frozen=True, array_like=True):
-    """One member as the leader sees it.
+    """State of one member, as known to the leader.
 
     Attributes:
-        member_id: Identity bound to its disk.
+        member_id: Identity stored in its data folder.
         name: Name of the machine.
         address: `IP:port`.
-        voter: Whether it votes.
-        leads: Whether it leads.
-        behind: Committed entries it has not durably got.
-        silent_s: Time since its last answer; 0 for the leader.
-        replaces: Voter whose place it takes once caught up.
+        voter: Whether it is a voter.
+        leads: Whether it is the leader.
+        behind: Number of committed entries that it has not stored durably.
+        silent_s: Seconds since its last response; 0 for the leader.
+        replaces: Voter that it replaces once it has caught up; empty if there is none.
     """
 
     member_id: str
@@ -73,28 +73,29 @@
 
 
 class MembersReport(msgspec.Struct, frozen=True, tag="members-report"):
-    """The answer to `MembersRequest`.
+    """The response to `MembersRequest`.
 
     Attributes:
-        refusal: Why a change was not started; empty when it was, or when none was asked.
-        whole: Whether every voter is there and durably has everything that is committed.
-        at_risk: What the loss of further machines would mean.
+        rejection: Reason why a requested change was not started; otherwise empty.
+        is_fully_replicated: Whether every voter responds and has stored all committed entries
+            durably.
+        risk: Description of the consequences if further machines are lost.
         members: All members.
     """
 
-    refusal: str
-    whole: bool
-    at_risk: str
+    rejection: str = msgspec.field(name="refusal")
+    is_fully_replicated: bool = msgspec.field(name="whole")
+    risk: str = msgspec.field(name="at_risk")
     members: list[MemberReport]
 
 
 class JoinRequest(msgspec.Struct, frozen=True, tag="join"):
-    """A control member that belongs to no group asks to be taken in; only the leader can.
+    """A control process that belongs to no group requests to join; only the leader can accept it.
 
     Attributes:
-        identity: Its identity, bound to its disk.
-        host: Its IP number for other members.
-        port: Its port for other members.
+        identity: Identity stored in its data folder.
+        host: IP address at which other members reach it.
+        port: Port at which other members reach it.
     """
 
     identity: str
@@ -103,19 +104,20 @@
 
 
 class FindGroup(msgspec.Struct, frozen=True, tag="find-group"):
-    """A control process without a disk asks where the group is; a leader answers.
+    """A control process without a data folder queries the group's addresses; a leader responds.
 
     Attributes:
-        address: `IP:port` at which the asking process can be told later.
+        address: `IP:port` at which the sender accepts later referrals.
     """
 
     address: str
 
 
 class GroupReferral(msgspec.Struct, frozen=True, tag="group-referral"):
-    """Where the members of the group are: a leader's answer to `FindGroup`, or told unasked.
+    """Addresses of the group's members: a leader's response to `FindGroup`, or an announcement.
 
-    Told unasked it is hearsay: the receiver asks at these addresses, and answers `Pong`.
+    An announcement is unverified: the receiver adds the addresses to those that it queries, and
+    responds with `Pong`.
 
     Attributes:
         members: `IP:port` of each member, the sender's own first.
@@ -125,6 +127,10 @@
 
 
 class JoinReply(msgspec.Struct, frozen=True, tag="join-reply"):
-    """Whether the asking member belongs to the group now, or will soon."""
+    """The response to `JoinRequest`.
+
+    Attributes:
+        accepted: Whether the sender of the request is a member or is being added.
+    """
 
     accepted: bool
--- a/src/crowsill/transport/messages.py
+++ b/src/crowsill/transport/messages.py
@@ -1,6 +1,7 @@
-"""Messages between crowsill's own processes: callers of a control member, and its answers.
+"""Messages between crowsill's own processes: requests to control members, replies and pushes.
 
-Every frame is one `Frame`. A request carries an id that its reply repeats; a push has none.
+Each message is sent in one `Frame`. A request carries a correlation id that its reply repeats; a
+push has none.
 """
 
 import msgspec
@@ -15,19 +16,19 @@
 from crowsill.state.directory import DirectoryChange
 from crowsill.state.route_store import RouteDocument
 from crowsill.transport.membership_messages import (
-    BlankCheck,
+    EmptyCheck,
+    EmptyCheckReply,
     FindGroup,
     GroupReferral,
     JoinReply,
     JoinRequest,
-    MemberBlank,
     MembersReport,
     MembersRequest,
 )
 from crowsill.transport.replica_messages import (
     ClearRequests,
     DemandNotice,
-    LeavingInstances,
+    DrainingInstances,
     ReplicaGrantRequest,
     ReplicaLimitsNotice,
     ReportCrash,
@@ -44,8 +45,8 @@
         version: Protocol version.
         node: Name of the process.
         identity: Member id, or the incarnation of an entry.
-        zone: Site of the process.
-        nonce: Random bytes the other side must authenticate.
+        zone: Zone of the process.
+        nonce: Random bytes that the accepting side's proof must cover.
     """
 
     version: int
@@ -56,7 +57,15 @@
 
 
 class Challenge(msgspec.Struct, frozen=True, tag="challenge"):
-    """The accepting side's identity, its proof over both nonces, and its own nonce."""
+    """Second frame, from the accepting side.
+
+    Attributes:
+        version: Protocol version.
+        node: Name of the process.
+        identity: Id of the member or process.
+        nonce: Random bytes that the connecting side's proof must cover.
+        proof: Keyed hash of both nonces.
+    """
 
     version: int
     node: str
@@ -66,26 +75,27 @@
 
 
 class Proof(msgspec.Struct, frozen=True, tag="proof"):
-    """The connecting side's proof over both nonces."""
+    """Third frame, from the connecting side: its keyed hash of both nonces."""
 
     proof: bytes
 
 
 class SubmitCommand(msgspec.Struct, frozen=True, tag="submit"):
-    """Commit a command; only the leader can."""
+    """Commit a command; only the leader can do so."""
 
     command: Command
 
 
 class EntryStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a live entry says of itself.
+    """Status of a live entry, as reported by itself.
 
     Attributes:
-        incarnation: Changes at each start of the entry.
+        incarnation: Id that changes at each start of the entry.
         node: Name of the process.
-        zone: Its site.
-        revision: Revision it serves.
-        excluded: Replicas to which it sends nothing at present, as a gateway; not all, if many.
+        zone: Zone of the process.
+        revision: Configuration revision that it serves.
+        excluded: Replicas to which the entry, as a gateway, currently sends no requests; incomplete
+            if there are many.
     """
 
     incarnation: str
@@ -96,23 +106,26 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
-    """An entry, or a follower for the entries behind it, asks what is current.
+    """An entry reports its status and queries the current versions; answered by `Freshness`.
+
+    A follower sends one heartbeat for all entries that are connected to it.
 
     Attributes:
         fleet_epoch: Epoch of the sender's fleet view.
-        fleet_sequence: Sequence of that view.
-        entries: The entry itself, or all entries that follow this member.
-        demand: Requests since the last heartbeat by resource; only non-zero counts.
-        follows_configuration: Whether the sender wants configuration pushes.
-        follows_routes: Whether it wants pushes of routes and of the directory of replicas.
-        routes_version: Version of the routes that it has.
-        directory_version: Version of the directory that it has.
-        suspects_version: Version of the crash record that it has.
-        urgent: Those requests of `demand` that have a short target.
-        pressed: Those whose first event took most of their target, or that found no place.
-        in_use: What the sender has at replicas, or all gateways behind it; None where it does not
-            tell, and wants to be told nothing of others.
-        limits: Limits that replicas name, as far as the sender knows them.
+        fleet_sequence: Sequence number of that view.
+        entries: The entry itself, or all entries that are connected to this follower.
+        demand: Number of requests since the last heartbeat by resource; non-zero counts only.
+        follows_configuration: Whether the sender subscribes to configuration updates.
+        follows_routes: Whether it subscribes to updates of routes and of the replica directory.
+        routes_version: Version of the sender's routes.
+        directory_version: Version of the sender's directory.
+        urgent: Requests of `demand` with a short latency target.
+        overloaded: Requests whose first event took most of their latency target, or for which no
+            replica had a free slot.
+        suspects_version: Version of the sender's crash record.
+        in_use: Use of replicas by the sender, or by all gateways connected to it; None if it
+            neither reports its use nor needs the total.
+        limits: Rate limits that replicas advertise, as far as the sender knows them.
     """
 
     fleet_epoch: int
@@ -124,32 +137,32 @@
     routes_version: int = 0
     directory_version: int = 0
     urgent: dict[str, int] = {}
-    pressed: dict[str, int] = {}
+    overloaded: dict[str, int] = msgspec.field(default_factory=dict, name="pressed")
     suspects_version: int = 0
     in_use: UseByReplica | None = None
     limits: list[LimitReport] = []
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """A member asks whether a stream still carries anything in both directions."""
+    """Checks whether a stream still transports data in both directions."""
 
 
 class Pong(msgspec.Struct, frozen=True, tag="pong"):
-    """The answer to `Ping`."""
+    """The response to `Ping`; also acknowledges an announced `GroupReferral`."""
 
 
 class Submitted(msgspec.Struct, frozen=True, tag="submitted"):
-    """The command was committed and applied."""
+    """The command was committed and applied; carries its result."""
 
     result: CommandResult
 
 
 class NotLeader(msgspec.Struct, frozen=True, tag="not-leader"):
-    """This process does not lead; the command that was asked for has not been proposed here.
+    """This process is not the leader and has not proposed the requested command.
 
     Attributes:
-        leader: The leader's `IP:port` if it is known.
-        members: `IP:port` of members to ask instead, as far as this process knows any.
+        leader: `IP:port` of the leader; None if it is unknown.
+        members: `IP:port` of other members that this process knows.
     """
 
     leader: str | None
@@ -157,26 +170,26 @@
 
 
 class MemberBehind(msgspec.Struct, frozen=True, tag="member-behind"):
-    """This member lacks what the leader confirms as current: follow another one."""
+    """This member has not applied the versions that the leader confirms; use another member."""
 
 
-class Undecided(msgspec.Struct, frozen=True, tag="undecided"):
-    """The command may or may not be committed: leadership was lost while it was pending."""
+class OutcomeUnknown(msgspec.Struct, frozen=True, tag="undecided"):
+    """The command may or may not be committed: the member lost leadership while it was pending."""
 
 
-class Currency(msgspec.Struct, frozen=True, tag="currency"):
-    """What is current, as proven by the leader's lease.
+class Freshness(msgspec.Struct, frozen=True, tag="currency"):
+    """The current versions, confirmed under the leader's lease.
 
     Attributes:
-        revision: The revision in force.
-        entries: Number of live entries, for shared limits.
+        revision: Current configuration revision.
+        entries: Number of live entries, by which shared limits are divided.
         members: `IP:port` of each control member.
-        routes_version: Version of the routes in force.
-        directory_version: Version of the directory of replicas.
-        suspects_version: Version of the crash record.
-        in_use: What all gateways have at replicas; None where that was not asked, or is not known.
-        member_zones: Site of each member, in the order of `members`; empty where it is not known.
-        limits: Limits that replicas name, as far as the group knows them.
+        routes_version: Current version of the routes.
+        directory_version: Current version of the replica directory.
+        suspects_version: Current version of the crash record.
+        in_use: Use of replicas by all gateways; None if it was not requested or is unknown.
+        member_zones: Zone of each member, in the order of `members`; empty string if unknown.
+        limits: Rate limits that replicas advertise, as far as the group knows them.
     """
 
     revision: int
@@ -191,14 +204,19 @@
 
 
 class ConfigurationUpdate(msgspec.Struct, frozen=True, tag="configuration-update"):
-    """A newer configuration: steps, or the whole when `full` is set."""
+    """A newer configuration.
+
+    Attributes:
+        full: The full configuration; None if `deltas` lead to it.
+        deltas: Successive changes.
+    """
 
     full: Configuration | None
     deltas: list[ConfigurationDelta]
 
 
 class FleetUpdate(msgspec.Struct, frozen=True, tag="fleet-update"):
-    """A step of the fleet view."""
+    """One change of the fleet view."""
 
     delta: FleetDelta
 
@@ -210,18 +228,23 @@
 
 
 class DirectoryUpdate(msgspec.Struct, frozen=True, tag="directory-update"):
-    """A change of the directory of replicas; `whole` when it holds everything."""
+    """A change of the replica directory.
+
+    Attributes:
+        change: The change.
+        is_full: Whether it replaces the receiver's directory instead of extending it.
+    """
 
     change: DirectoryChange
-    whole: bool
+    is_full: bool = msgspec.field(name="whole")
 
 
 class GrantRequest(msgspec.Struct, frozen=True, tag="grant-request"):
-    """A gateway asks for what one request of a tenant counts; a follower passes it to the leader.
+    """A gateway requests quota for one request of a tenant; a follower forwards it to the leader.
 
     Attributes:
-        tenant: Whose request it is.
-        units: What it counts, in the unit of the tenant's rate.
+        tenant: Tenant of the request.
+        units: Cost of the request, in the unit of the tenant's rate.
     """
 
     tenant: str
@@ -229,12 +252,13 @@
 
 
 class GrantReply(msgspec.Struct, frozen=True, tag="grant-reply"):
-    """The leader's answer to `GrantRequest`.
+    """The leader's response to `GrantRequest` and `ReplicaGrantRequest`.
 
     Attributes:
-        is_granted: Whether the units may be used.
-        wait_s: When they may be, from now, if granted; else when there will be room.
-        lifetime_s: How long they may be used from then on.
+        is_granted: Whether the units are granted.
+        wait_s: Seconds until the granted units may be used; if none were granted, seconds until
+            they become available.
+        lifetime_s: Seconds for which granted units may be used after that wait.
     """
 
     is_granted: bool
@@ -254,17 +278,17 @@
     | Proof
     | SubmitCommand
     | Heartbeat
-    | BlankCheck
+    | EmptyCheck
     | Ping
     | Pong
-    | MemberBlank
+    | EmptyCheckReply
     | MembersRequest
     | MembersReport
     | Submitted
     | NotLeader
     | MemberBehind
-    | Undecided
-    | Currency
+    | OutcomeUnknown
+    | Freshness
     | ConfigurationUpdate
     | FleetUpdate
     | ConsensusTraffic
@@ -276,7 +300,7 @@
     | FindGroup
     | GroupReferral
     | SeenInstances
-    | LeavingInstances
+    | DrainingInstances
     | SuspectInstances
     | GrantRequest
     | GrantReply
@@ -292,11 +316,11 @@
     """One frame on a stream.
 
     Attributes:
-        correlation: Id of a request and of its reply; 0 for a push.
-        is_reply: Whether this answers the request of that id.
+        correlation_id: Id shared by a request and its reply; 0 for a push.
+        is_reply: Whether this is the reply to the request with that id.
         body: The message.
     """
 
-    correlation: int
+    correlation_id: int
     is_reply: bool
     body: Body
--- a/src/crowsill/transport/question.py
+++ b/src/crowsill/transport/query.py
@@ -9,7 +9,7 @@
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
 
-async def ask_once(
+async def query_once(
     target: Address, question: Body, local: LocalIdentity, timeout_s: float
 ) -> Body | None:
     """Ask a process; None when it cannot be reached or does not answer in time."""
@@ -27,7 +27,7 @@
         await reader
 
 
-async def ask_leader(
+async def query_leader(
     target: Address, question: Body, local: LocalIdentity, timeout_s: float
 ) -> tuple[Address, Body | None]:
     """Ask a process what only the leader answers, and the one it names if it does not lead.
@@ -35,8 +35,8 @@
     Returns:
         Who was asked last, and its answer.
     """
-    reply = await ask_once(target, question, local, timeout_s)
+    reply = await query_once(target, question, local, timeout_s)
     if isinstance(reply, NotLeader) and reply.leader is not None:
         target = parse_address(reply.leader)
-        reply = await ask_once(target, question, local, timeout_s)
+        reply = await query_once(target, question, local, timeout_s)
     return target, reply
--- a/src/crowsill/transport/replica_messages.py
+++ b/src/crowsill/transport/replica_messages.py
@@ -1,4 +1,4 @@
-"""Messages in which processes tell each other what they saw of replicas and their requests."""
+"""Messages about the observed state of replicas and of requests on them."""
 
 import msgspec
 
@@ -7,80 +7,94 @@
 
 
 class SuspectsUpdate(msgspec.Struct, frozen=True, tag="suspects-update"):
-    """A change of the crash record; `whole` when it holds everything."""
+    """A change of the crash record.
+
+    Attributes:
+        change: The change.
+        is_full: Whether it replaces the receiver's crash record instead of extending it.
+    """
 
     change: SuspectChange
-    whole: bool
+    is_full: bool = msgspec.field(name="whole")
 
 
 class ReportCrash(msgspec.Struct, frozen=True, tag="report-crash"):
-    """A gateway saw a replica end while it ran requests; a follower passes it to the leader.
+    """A gateway reports that a replica crashed while it ran requests.
+
+    A follower forwards it to the leader.
 
     Attributes:
-        life: The replica's life that ended.
-        requests: What was running there for this gateway.
-        ago_s: How long before this message it ended.
+        instance_id: Id of the incarnation that crashed.
+        requests: Requests of this gateway that were running there.
+        ago_s: Seconds from the crash to the sending of this message.
     """
 
-    life: str
+    instance_id: str = msgspec.field(name="life")
     requests: list[SuspectRequest]
     ago_s: float
 
 
 class ClearRequests(msgspec.Struct, frozen=True, tag="clear-requests"):
-    """Requests that were suspects, or ran where a replica ended, had ended whole.
+    """A gateway reports that suspect requests, or requests on a crashed replica, completed.
 
-    A follower passes it to the leader.
+    A follower forwards it to the leader.
 
     Attributes:
-        fingerprints: Which.
-        whole_ago_s: How long before this message each ended whole, in the same order; infinite
-            where its gateway no longer knows.
+        fingerprints: Fingerprints of the requests.
+        completed_ago_s: Seconds from the completion of each request to the sending of this message,
+            in the same order; infinite if the gateway no longer knows it.
     """
 
     fingerprints: list[bytes]
-    whole_ago_s: list[float] = []
+    completed_ago_s: list[float] = msgspec.field(default_factory=list, name="whole_ago_s")
 
 
 class ReplicaGrantRequest(msgspec.Struct, frozen=True, tag="replica-grant-request"):
-    """A gateway asks to send one request to a replica that names a limit.
+    """A gateway requests permission to send one request to a replica that advertises a rate limit.
 
-    A follower passes it to the leader, which answers with a `GrantReply`.
+    A follower forwards it to the leader, which responds with a `GrantReply`.
 
     Attributes:
-        word: The replica, and what the gateway knows of its limit.
+        report: The replica and its limit, as far as the gateway knows it.
         is_urgent: Whether the request cannot wait.
     """
 
-    word: LimitReport
+    report: LimitReport = msgspec.field(name="word")
     is_urgent: bool = True
 
 
 class DemandNotice(msgspec.Struct, frozen=True, tag="demand-notice"):
-    """Resources that requests wait for and no replica holds, with their number."""
+    """Resources that requests wait for and no replica has.
 
-    wanted: dict[str, int]
+    Attributes:
+        missing: Number of waiting requests by resource.
+    """
+
+    missing: dict[str, int] = msgspec.field(name="wanted")
 
 
 class SeenInstances(msgspec.Struct, frozen=True, tag="seen-instances"):
-    """Replicas whose heartbeats came to a follower since its last message."""
+    """Incarnations whose heartbeats a follower received since its previous message."""
 
     instance_ids: list[str]
 
 
-class LeavingInstances(msgspec.Struct, frozen=True, tag="leaving-instances"):
-    """Replicas that said in answers that they leave; sent until the directory says so."""
+class DrainingInstances(msgspec.Struct, frozen=True, tag="leaving-instances"):
+    """Incarnations that reported in responses that they drain.
+
+    A gateway repeats the message until the directory marks them as draining.
+    """
 
     instance_ids: list[str]
 
 
 class SuspectInstances(msgspec.Struct, frozen=True, tag="suspect-instances"):
-    """Replicas to which a gateway could make no connection just now."""
+    """Incarnations to which a gateway has just failed to connect."""
 
     instance_ids: list[str]
 
 
 class ReplicaLimitsNotice(msgspec.Struct, frozen=True, tag="replica-limits"):
-    """Limits that replicas have just named to a gateway, or no longer name."""
+    """Rate limits that replicas have just advertised to a gateway or stopped to advertise."""
 
-    words: list[LimitReport]
+    reports: list[LimitReport] = msgspec.field(name="words")
--- a/src/crowsill/transport/sockets.py
+++ b/src/crowsill/transport/sockets.py
@@ -10,7 +10,7 @@
 PROBE_INTERVAL_S = 1
 
 
-def bound_silence(transport: asyncio.BaseTransport, silence_s: float) -> None:
+def set_peer_timeout(transport: asyncio.BaseTransport, silence_s: float) -> None:
     """End a TCP connection whose other side acknowledges nothing for about this long."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
--- a/src/crowsill_lab/bench/cut.py
+++ b/src/crowsill_lab/bench/cut.py
@@ -18,7 +18,7 @@
 )
 from crowsill.transport.connection import ConnectionLostError, open_connection
 from crowsill.transport.leader_client import LeaderClient
-from crowsill.transport.messages import Currency, Heartbeat, SubmitCommand, Submitted
+from crowsill.transport.messages import Freshness, Heartbeat, SubmitCommand, Submitted
 from crowsill.transport.stream import ProtocolError
 from crowsill_lab.bench.control import local_identity
 from crowsill_lab.bench.hollow import (
@@ -68,7 +68,7 @@
                 reply = await connection.request(Heartbeat(0, 0, [], {}, False), 3.0)
             except ConnectionLostError:
                 reply = None
-            if isinstance(reply, Currency):
+            if isinstance(reply, Freshness):
                 # It vouches for the moment of asking, not for that of the reply.
                 proofs_s.append(asked_s)
             await asyncio.sleep(0.02)
--- a/src/crowsill_lab/bench/kills.py
+++ b/src/crowsill_lab/bench/kills.py
@@ -128,7 +128,7 @@
             report = await fetch_operator(site, index, "/v1/members", MembersReport)
         except RuntimeError:
             continue
-        return report.whole
+        return report.is_fully_replicated
     return False
 
 
--- a/src/crowsill_lab/bench/replacement.py
+++ b/src/crowsill_lab/bench/replacement.py
@@ -65,8 +65,8 @@
     while True:
         report = await fetch_operator(site, leader, "/v1/members", MembersReport)
         behind = max(member.behind for member in report.members)
-        early = early or (report.whole and (behind > 0 or len(report.members) != 3))
-        if report.whole:
+        early = early or (report.is_fully_replicated and (behind > 0 or len(report.members) != 3))
+        if report.is_fully_replicated:
             break
         await asyncio.sleep(0.02)
     whole_s = time.monotonic() - started_s
--- a/src/crowsill_lab/soak/losses.py
+++ b/src/crowsill_lab/soak/losses.py
@@ -8,7 +8,7 @@
 
 from crowsill.settings import Address
 from crowsill.transport.membership_messages import MemberAction, MembersReport, MembersRequest
-from crowsill.transport.question import ask_leader
+from crowsill.transport.query import query_leader
 from crowsill.transport.stream import OPEN_CLUSTER_KEY, LocalIdentity
 from crowsill_lab.demo.processes import ManagedProcess
 from crowsill_lab.soak.ledger import Ledger
@@ -125,10 +125,10 @@
         for member in self._site.with_disks():
             target = Address(member.host, member.listen)
             question = MembersRequest(MemberAction.LIST)
-            _, reply = await ask_leader(target, question, self._local, REPLY_TIMEOUT_S)
+            _, reply = await query_leader(target, question, self._local, REPLY_TIMEOUT_S)
             if isinstance(reply, MembersReport):
                 voters = [item for item in reply.members if item.voter]
-                return reply.whole and len(voters) == wanted
+                return reply.is_fully_replicated and len(voters) == wanted
         return False
 
 
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -53,7 +53,10 @@
         # A break that is noticed after the crash was detected counts as well.
         watched.watch.note_broken_response(at(port), suspect(b"h"))
         await asyncio.sleep(0.05)
-        assert isinstance(watched.reported[-1], ReportCrash) and watched.reported[-1].life == "i-1"
+        assert (
+            isinstance(watched.reported[-1], ReportCrash)
+            and watched.reported[-1].instance_id == "i-1"
+        )
         await watched.watch.stop()
 
     run(scenario())
@@ -100,7 +103,7 @@
         assert watched.guard.is_quarantined(b"f")
         watched.is_connected = True
         await asyncio.sleep(0.2)
-        assert sorted(report.life for report in watched.reported) == ["i-0", "i-1", "i-2"]
+        assert sorted(report.instance_id for report in watched.reported) == ["i-0", "i-1", "i-2"]
         assert all(0.0 <= report.ago_s < 5.0 for report in watched.reported)
         await watched.watch.stop()
 
@@ -148,7 +151,7 @@
         await asyncio.sleep(ABANDONED_MEMORY_S + 0.1)
         watched.watch.note_refused_connection(later)
         await watched.watch.has_crashed("i-2")
-        assert all(report.life != "i-2" for report in watched.reported)
+        assert all(report.instance_id != "i-2" for report in watched.reported)
         await watched.watch.stop()
 
     run(scenario())
@@ -194,6 +197,6 @@
             await asyncio.sleep(0.1)
             await role.drain()
             await role.crash_watch.stop()
-            assert [message.life for message in reported] == ["i-1"]
+            assert [message.instance_id for message in reported] == ["i-1"]
 
     run(scenario())
--- a/tests/test_gateway_changes.py
+++ b/tests/test_gateway_changes.py
@@ -262,7 +262,7 @@
             assert status == 503
             before = len(asked)
             await until(lambda: len(asked) > before + 2)
-            assert asked[-1].wanted == {"engines|m": 1}
+            assert asked[-1].missing == {"engines|m": 1}
 
     run(scenario())
 
@@ -279,7 +279,7 @@
             assert status == 503
             status, _, _ = await caller.request("engine", headers=["crowsill-model: m"])
             await until(lambda: len(asked) > 2)
-            assert {name for notice in asked for name in notice.wanted} == {"engines|m"}
+            assert {name for notice in asked for name in notice.missing} == {"engines|m"}
 
     run(scenario())
 
--- a/tests/test_gateway_follower.py
+++ b/tests/test_gateway_follower.py
@@ -14,7 +14,7 @@
 from crowsill.state.directory import DirectoryChange
 from crowsill.state.route_store import RouteDocument
 from crowsill.transport.connection import ConnectionServer
-from crowsill.transport.messages import Currency, DirectoryUpdate, MemberBehind, RoutesUpdate
+from crowsill.transport.messages import DirectoryUpdate, Freshness, MemberBehind, RoutesUpdate
 from crowsill.transport.stream import LocalIdentity
 
 
@@ -22,7 +22,7 @@
     """A stream to a member that confirms given versions."""
 
     def __init__(self, routes_version, directory_version):
-        self.currency = Currency(0, 3, [], routes_version, directory_version)
+        self.currency = Freshness(0, 3, [], routes_version, directory_version)
         self.peer = SimpleNamespace(node="m1")
 
     async def request(self, _heartbeat, _timeout_s):
@@ -121,7 +121,7 @@
         if self.is_behind:
             return MemberBehind()
         members = [f"{item.address.host}:{item.address.port}" for item in self.group]
-        return Currency(0, 3, members, member_zones=[item.zone for item in self.group])
+        return Freshness(0, 3, members, member_zones=[item.zone for item in self.group])
 
     @property
     def followers(self):
--- a/tests/test_gateway_use.py
+++ b/tests/test_gateway_use.py
@@ -20,7 +20,7 @@
 from crowsill.state.directory import DirectoryChange
 from crowsill.state.quota_use import QuotaUse
 from crowsill.transport.group_contacts import GroupContacts
-from crowsill.transport.messages import Currency, EntryStatus, Heartbeat
+from crowsill.transport.messages import EntryStatus, Freshness, Heartbeat
 from crowsill.transport.stream import LocalIdentity
 
 
@@ -83,7 +83,7 @@
     contacts = GroupContacts([], Random(1))
     service = MemberService(local, False, subscribers, None, contacts, quota=grants)
     service.driver = SimpleNamespace(is_leader=True)
-    service.own_freshness = lambda: Currency(0, 3)
+    service.own_freshness = lambda: Freshness(0, 3)
     service._has_applied = lambda _freshness: True
 
     async def send_heartbeat(source, **in_use):
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -11,7 +11,7 @@
 from crowsill.state.commands import RecordControlAddress
 from crowsill.state.control_addresses import MAX_CONTROL_ADDRESSES
 from crowsill.state.machine import StateMachine
-from crowsill.transport.group_contacts import MOST_REFERRED, GroupContacts
+from crowsill.transport.group_contacts import MAX_REFERRALS, GroupContacts
 from crowsill.transport.messages import Pong, Submitted
 
 LEADER, FOLLOWER, EMPTY = (Address("10.0.0.1", 7), Address("10.0.0.2", 7), Address("10.0.0.3", 7))
@@ -35,14 +35,14 @@
     known_contacts.learn([LEADER])
     known_contacts.refer([Address("10.9.0.1", number) for number in range(100)])
     assert known_contacts.targets()[0] == LEADER and known_contacts.targets()[-1] == SEED
-    assert len(known_contacts.targets()) == MOST_REFERRED + 2
+    assert len(known_contacts.targets()) == MAX_REFERRALS + 2
 
 
 def test_members_reported_by_a_leader_replace_referrals():
     # Each outdated address costs a search 0.3 s. Sixteen of them, left from machines that were
     # replaced one by one, would delay a gateway that has just lost all members by 5 s.
     known_contacts = contacts([SEED])
-    known_contacts.refer([Address("10.9.0.1", number) for number in range(MOST_REFERRED)])
+    known_contacts.refer([Address("10.9.0.1", number) for number in range(MAX_REFERRALS)])
     known_contacts.learn([LEADER])
     assert known_contacts.targets() == [LEADER, SEED]
 
@@ -73,7 +73,7 @@
         self.silent = [EMPTY]
         self.seeds = [LEADER, SEED]
         self.machine = StateMachine()
-        monkeypatch.setattr(announcer_module, "ask_once", self.ask_once)
+        monkeypatch.setattr(announcer_module, "query_once", self.query_once)
         ports = AnnouncerPorts(
             members=lambda: [LEADER, FOLLOWER, EMPTY],
             silent_members=lambda: self.silent,
@@ -86,7 +86,7 @@
     async def submit(self, command):
         return Submitted(self.machine.apply(command))
 
-    async def ask_once(self, address, referral, _local, _timeout_s):
+    async def query_once(self, address, referral, _local, _timeout_s):
         self.announced_to.append(address)
         assert referral.members == ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"]
         return Pong() if address in self.responding else None
--- a/tests/test_leader_link.py
+++ b/tests/test_leader_link.py
@@ -11,7 +11,7 @@
 from crowsill.control.leader_link import LeaderLink
 from crowsill.model.fleet import FleetView
 from crowsill.transport.connection import ConnectionServer
-from crowsill.transport.messages import Currency
+from crowsill.transport.messages import Freshness
 from crowsill.transport.stream import LocalIdentity
 from tests.control_group import KEY, until
 
@@ -29,7 +29,7 @@
 
     async def refresh_from_leader(self):
         """Send a request through the stream, as the member's service does."""
-        await self.leader_stream.request(Currency(0, 1), 100.0)
+        await self.leader_stream.request(Freshness(0, 1), 100.0)
         self.refreshed += 1
 
 
@@ -39,7 +39,7 @@
     async def on_request(_connection, _body):
         if not responds:
             await asyncio.sleep(100.0)
-        return Currency(0, 1)
+        return Freshness(0, 1)
 
     server = ConnectionServer(LOCAL, on_request, lambda *_: None, lambda _: None)
     port = await server.start("127.0.0.1", 0)
@@ -55,7 +55,9 @@
         link_task = asyncio.create_task(link.run())
         follower.address = silent_leader_address
         await until(lambda: follower.leader_stream is not None)
-        pending_request = asyncio.create_task(follower.leader_stream.request(Currency(0, 1), 100.0))
+        pending_request = asyncio.create_task(
+            follower.leader_stream.request(Freshness(0, 1), 100.0)
+        )
         follower.address = new_leader_address
         await until(lambda: follower.refreshed > 0)
         # The request to the lost leader fails at once, so that it can be sent to the next one.
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
 from crowsill.tenancy.grant_ledger import QuotaBounds
 from crowsill.transport.connection import open_connection
 from crowsill.transport.group_contacts import GroupContacts
-from crowsill.transport.messages import Currency, EntryStatus, Heartbeat, NotLeader
+from crowsill.transport.messages import EntryStatus, Freshness, Heartbeat, NotLeader
 from crowsill.transport.stream import LocalIdentity
 
 LOCAL = LocalIdentity("g1", "g1.1", "z", b"k" * 32)
@@ -84,7 +84,7 @@
             quota=QuotaGrants(QuotaBounds(), QuotaUse(), lambda: None),
         )
         driver = service.driver = ElectingDriver()
-        service.own_freshness = lambda: Currency(0, 1) if driver.is_leader else None
+        service.own_freshness = lambda: Freshness(0, 1) if driver.is_leader else None
         request_task = asyncio.create_task(service.on_request(None, HEARTBEAT))
         await asyncio.sleep(0.1)
         driver.is_leader = True
@@ -94,7 +94,7 @@
 
 
 def test_member_that_has_just_started_responds_once_a_leader_is_known(monkeypatch):
-    assert isinstance(send_heartbeat_during_election(monkeypatch, has_just_started=True), Currency)
+    assert isinstance(send_heartbeat_during_election(monkeypatch, has_just_started=True), Freshness)
 
 
 def test_member_that_lost_its_leader_redirects_gateways_at_once(monkeypatch):
--- a/tests/test_redirector.py
+++ b/tests/test_redirector.py
@@ -12,9 +12,9 @@
 from crowsill.control.redirector import ControlRedirector
 from crowsill.settings import Address, ControlSettings, HttpListener, parse_settings
 from crowsill.transport.connection import ConnectionServer
-from crowsill.transport.membership_messages import FindGroup, GroupReferral, MemberBlank
+from crowsill.transport.membership_messages import EmptyCheckReply, FindGroup, GroupReferral
 from crowsill.transport.messages import NotLeader, Pong
-from crowsill.transport.question import ask_once
+from crowsill.transport.query import query_once
 from crowsill.transport.stream import LocalIdentity
 from crowsill_lab.demo.processes import free_ports
 
@@ -95,13 +95,13 @@
         own_address = Address(HOST, inner)
         try:
             assert (await send_request(outer))[0] == 503
-            assert await ask_once(own_address, FindGroup("x:1"), local(), 1.0) == NotLeader(None)
+            assert await query_once(own_address, FindGroup("x:1"), local(), 1.0) == NotLeader(None)
             referral = GroupReferral([f"{HOST}:{leader.port}"])
-            assert await ask_once(own_address, referral, local(), 1.0) == Pong()
+            assert await query_once(own_address, referral, local(), 1.0) == Pong()
             async with asyncio.timeout(5):
                 while (await send_request(outer))[0] != 307:
                     await asyncio.sleep(0.05)
-            response = await ask_once(own_address, FindGroup("x:1"), local(), 1.0)
+            response = await query_once(own_address, FindGroup("x:1"), local(), 1.0)
             assert response.leader == f"{HOST}:{leader.port}"
             # The leader's own response replaces the addresses from referrals.
             assert response.members == [f"{HOST}:1"]
@@ -126,7 +126,7 @@
                     await asyncio.sleep(0.01)
             await old_server.stop()
             referral = GroupReferral([f"{HOST}:{new.port}"])
-            assert await ask_once(Address(HOST, inner), referral, local(), 1.0) == Pong()
+            assert await query_once(Address(HOST, inner), referral, local(), 1.0) == Pong()
             async with asyncio.timeout(10):
                 while control_redirector._locator.leader != new:
                     await asyncio.sleep(0.01)
@@ -142,7 +142,7 @@
         control_redirector, inner, _ = await start_redirector([])
         try:
             response = await bootstrap.check_if_empty(Address(HOST, inner), local("other"))
-            assert response == MemberBlank("", True, may_vote=False)
+            assert response == EmptyCheckReply("", True, may_vote=False)
         finally:
             await control_redirector.stop()
 
@@ -162,7 +162,7 @@
 def test_the_first_seed_with_a_disk_forms_the_group(monkeypatch, own, without_disk, expected):
     async def response(seed, _local):
         position = SEEDS.index(seed)
-        return MemberBlank(f"m{position}.1", True, may_vote=position not in without_disk)
+        return EmptyCheckReply(f"m{position}.1", True, may_vote=position not in without_disk)
 
     monkeypatch.setattr(bootstrap, "check_if_empty", response)
     formed = asyncio.run(agree_on_seed_members(SEEDS, SEEDS[own], local(f"m{own}")))
@@ -176,7 +176,7 @@
 
 def test_a_seed_that_is_not_empty_shows_that_a_group_exists(monkeypatch):
     async def response(seed, _local):
-        return MemberBlank("m.1", is_blank=seed != SEEDS[2])
+        return EmptyCheckReply("m.1", is_empty=seed != SEEDS[2])
 
     monkeypatch.setattr(bootstrap, "check_if_empty", response)
     assert asyncio.run(agree_on_seed_members(SEEDS, SEEDS[0], local())) is None
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -214,7 +214,7 @@
         self.asked = []
 
     async def ask(self, question, _timeout_s):
-        self.asked.append(question.word)
+        self.asked.append(question.report)
         return self.replies.pop(0) if self.replies else None
 
 
