--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -216,7 +216,7 @@
         self.queries = []
 
     async def query(self, request, _timeout_s):
-        self.queries.append(request.word)
+        self.queries.append(request.report)
         return self.replies.pop(0) if self.replies else None
 
 
