--- a/src/crowsill_lab/soak/__init__.py
+++ b/src/crowsill_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: the real programs as separate processes, faults from outside, promises checked."""
+"""A fault soak: the real programs as separate processes, external faults, checked guarantees."""
--- a/src/crowsill_lab/soak/control_calls.py
+++ b/src/crowsill_lab/soak/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of replicas and operators to control members."""
+"""HTTP calls of replicas and operators to control members."""
 
 import aiohttp
 
@@ -8,7 +8,7 @@
 
 
 async def put(member: Member, path: str, body: bytes) -> int:
-    """Send a document to a member; return the status, or 0 without an answer."""
+    """PUT a document to a member; return the status, or 0 without a response."""
     url = f"http://{member.host}:{member.registrations}{path}"
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
     try:
--- a/src/crowsill_lab/soak/faults.py
+++ b/src/crowsill_lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, in series that overlap: signals, restarts, silent and broken connections."""
+"""Injects overlapping faults: signals, restarts, silent and reset connections."""
 
 import asyncio
 import contextlib
@@ -12,21 +12,21 @@
 from crowsill_lab.soak.losses import LossInjector
 from crowsill_lab.soak.replica import SoakReplica
 from crowsill_lab.soak.seeded_site import SeededSite
-from crowsill_lab.soak.site import GRACE_S, Gateway, Member, SoakSite
+from crowsill_lab.soak.site import DRAIN_GRACE_S, Gateway, Member, SoakSite
 
-LONGEST_GAP_S = 0.8
-LONGEST_DOWN_S = 1.5
-LONGEST_PAUSE_S = 2.0
-STOP_BOUND_S = GRACE_S + 2.0
+MAX_GAP_S = 0.8
+MAX_DOWN_S = 1.5
+MAX_PAUSE_S = 2.0
+MAX_STOP_S = DRAIN_GRACE_S + 2.0
 
 Fault = Callable[[], Awaitable[None]]
 
 
 class FaultInjector:
-    """Begins one fault after the other; at most one member at a time is down or paused.
+    """Starts faults in sequence; they may overlap, but at most one member is down or paused.
 
     Attributes:
-        done: What was done, in order.
+        injected: A line for each injected fault, in order.
     """
 
     def __init__(
@@ -44,23 +44,23 @@
         self._gateway_locks = {gateway.name: asyncio.Lock() for gateway in site.gateways}
         self._running: set[asyncio.Task[None]] = set()
         self._next_replica = len(replicas) + 1
-        self.done: list[str] = []
+        self.injected: list[str] = []
         self._losses: LossInjector | None = None
         if isinstance(site, SeededSite):
             self._losses = LossInjector(site, ledger, random, self._note)
 
     async def burst(self, seconds: float) -> None:
-        """Begin faults for a time, and wait until all have ended."""
+        """Start faults for a time in seconds, and wait until all of them have ended."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + seconds
-        while loop.time() < until_s:
-            task = asyncio.create_task(self._one())
+        until_at_s = loop.time() + seconds
+        while loop.time() < until_at_s:
+            task = asyncio.create_task(self._inject_one())
             self._running.add(task)
             task.add_done_callback(self._running.discard)
-            await asyncio.sleep(self._random.random() * LONGEST_GAP_S)
+            await asyncio.sleep(self._random.random() * MAX_GAP_S)
         await asyncio.gather(*self._running)
 
-    async def _one(self) -> None:
+    async def _inject_one(self) -> None:
         random = self._random
         member = random.choice(self._site.members)
         gateway = random.choice(self._site.gateways)
@@ -71,7 +71,7 @@
             lambda: self._kill_gateway(gateway),
             lambda: self._pause_gateway(gateway),
             lambda: self._stop_gateway(gateway),
-            lambda: self._hup(member, gateway),
+            lambda: self._hang_up(member, gateway),
             self._replace_replica,
             self._restart_replica,
             *self._connection_faults(member),
@@ -80,7 +80,7 @@
         await random.choice(faults)()
 
     def _connection_faults(self, member: Member) -> list[Fault]:
-        """Return what can be done to the connections of a member behind a relay."""
+        """Return the connection faults of a member behind a relay; none without a relay."""
         relay = member.relay
         if relay is None:
             return []
@@ -93,12 +93,12 @@
         return [
             lambda: self._lose(losses.lose_disks),
             lambda: self._lose(losses.replace_machine),
-            lambda: self._lose(losses.turn_over_seeds),
+            lambda: self._lose(losses.change_seeds),
             lambda: self._lose_power(losses),
         ]
 
-    async def close(self) -> None:
-        """After the last burst: lose all that may be lost at once, where disks may be lost."""
+    async def inject_final_loss(self) -> None:
+        """After the last burst, inject the maximum simultaneous loss if the site can lose disks."""
         if self._losses is not None:
             await self._losses.lose_all()
 
@@ -107,13 +107,13 @@
             await loss()
 
     async def _lose_power(self, losses: LossInjector) -> None:
-        async with self._member_lock, contextlib.AsyncExitStack() as held:
+        async with self._member_lock, contextlib.AsyncExitStack() as locks:
             for name in sorted(self._gateway_locks):
-                await held.enter_async_context(self._gateway_locks[name])
+                await locks.enter_async_context(self._gateway_locks[name])
             await losses.lose_power()
 
     def _note(self, what: str) -> None:
-        self.done.append(what)
+        self.injected.append(what)
 
     async def _kill_member(self, member: Member) -> None:
         async with self._member_lock:
@@ -148,67 +148,69 @@
     async def _kill_gateway(self, gateway: Gateway) -> None:
         async with self._gateway_locks[gateway.name]:
             self._note(f"kill {gateway.name}")
-            gateway.cuts += 1
+            gateway.interruptions += 1
             await self._kill(gateway.process)
-            gateway.cuts += 1
-            gateway.lives += 1
+            gateway.interruptions += 1
+            gateway.starts += 1
 
     async def _pause_gateway(self, gateway: Gateway) -> None:
         async with self._gateway_locks[gateway.name]:
             self._note(f"pause {gateway.name}")
-            gateway.cuts += 1
+            gateway.interruptions += 1
             await self._pause(gateway.process)
-            gateway.cuts += 1
+            gateway.interruptions += 1
 
     async def _stop_gateway(self, gateway: Gateway) -> None:
         async with self._gateway_locks[gateway.name]:
             self._note(f"stop {gateway.name}")
             await self._stop(gateway.process)
-            gateway.lives += 1
+            gateway.starts += 1
 
-    async def _hup(self, member: Member, gateway: Gateway) -> None:
+    async def _hang_up(self, member: Member, gateway: Gateway) -> None:
         self._note(f"hup {member.name} {gateway.name}")
         for process in (member.process, gateway.process):
             if process is not None:
                 process.hang_up()
 
     async def _replace_replica(self) -> None:
-        leaving = self._replicas.pop(0)
-        self._note(f"replace {leaving.name}")
-        other = SoakReplica(self._next_replica, self._site, self._ledger, self._random)
+        draining = self._replicas.pop(0)
+        self._note(f"replace {draining.name}")
+        replacement = SoakReplica(self._next_replica, self._site, self._ledger, self._random)
         self._next_replica += 1
-        await other.start()
-        self._replicas.append(other)
+        await replacement.start()
+        self._replicas.append(replacement)
         await asyncio.sleep(1.0)
-        await leaving.leave()
+        await draining.drain()
 
     async def _restart_replica(self) -> None:
         replica = self._random.choice(self._replicas)
         self._note(f"end {replica.name}")
-        await replica.end_and_start_again()
+        await replica.crash_and_restart()
 
     async def _kill(self, process: ManagedProcess | None) -> None:
         if process is None:
             return
         process.send(signal.SIGKILL)
         await asyncio.to_thread(process.wait)
-        await asyncio.sleep(self._random.random() * LONGEST_DOWN_S)
+        await asyncio.sleep(self._random.random() * MAX_DOWN_S)
         process.start()
 
     async def _pause(self, process: ManagedProcess | None) -> None:
         if process is None:
             return
         process.send(signal.SIGSTOP)
-        await asyncio.sleep(self._random.random() * LONGEST_PAUSE_S)
+        await asyncio.sleep(self._random.random() * MAX_PAUSE_S)
         process.send(signal.SIGCONT)
 
     async def _stop(self, process: ManagedProcess | None) -> None:
         if process is None:
             return
         process.send(signal.SIGTERM)
-        if await asyncio.to_thread(process.wait, STOP_BOUND_S) is None:
-            self._ledger.broken(f"{process.name}: still there {STOP_BOUND_S} s after SIGTERM")
+        if await asyncio.to_thread(process.wait, MAX_STOP_S) is None:
+            self._ledger.note_violation(
+                f"{process.name}: still running {MAX_STOP_S} s after SIGTERM"
+            )
             process.send(signal.SIGKILL)
             await asyncio.to_thread(process.wait)
-        await asyncio.sleep(self._random.random() * LONGEST_DOWN_S)
+        await asyncio.sleep(self._random.random() * MAX_DOWN_S)
         process.start()
--- a/src/crowsill_lab/soak/ledger.py
+++ b/src/crowsill_lab/soak/ledger.py
@@ -1,58 +1,58 @@
-"""What callers, replicas and operators saw, and which promises that breaks."""
+"""Records what callers, replicas and operators observe, and which guarantees it violates."""
 
 from bisect import bisect_right
 from collections import Counter
 from dataclasses import dataclass, field
 
 from crowsill_lab.soak.limits import LimitLedger
-from crowsill_lab.soak.signal_ledger import GatewayLife, SignalLedger
+from crowsill_lab.soak.signal_ledger import GatewayRun, SignalLedger
 from crowsill_lab.soak.tenants import (
     BURST,
     LIMITED,
+    MAX_REVOCATION_S,
     QUOTA_WINDOW_S,
     RATE_PER_S,
-    REVOCATION_S,
     CallerKey,
 )
 
-# Bodies that begin so end every replica that reads one.
-CRASHING = b"crash-"
-# Statuses that promise that a request has not run and never will.
+# A request body with this prefix crashes every replica that reads it.
+CRASHING_BODY_PREFIX = b"crash-"
+# Statuses that guarantee that a request has not run and never will.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request as its caller sent it.
+    """A request as sent by its caller.
 
     Attributes:
-        key: The key that it shows.
-        sent_s: The clock.
-        gateway: The gateway that it was sent to.
+        key: The API key that it carries.
+        sent_at_s: Monotonic time at which it was sent.
+        gateway: The gateway run that it was sent to.
     """
 
     key: CallerKey
-    sent_s: float
-    gateway: GatewayLife | None = None
+    sent_at_s: float
+    gateway: GatewayRun | None = None
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Everything that was seen.
+    """All observations of a soak. All times are monotonic.
 
     Attributes:
-        runs: How often replicas ran each request, by its id.
-        at_most_once: Ids of requests that may not run twice.
-        not_run: Ids of requests that were answered with the promise that they did not run.
-        statuses: Answers by status; 0 where the connection ended.
-        violations: Promises broken, each in one line.
-        acknowledged: Newest version of the routes that was acknowledged.
-        acknowledged_s: Clock of each acknowledgement, by version.
-        sent: Requests by their id.
-        limited_runs: When requests of the limited tenant were sent and had arrived.
-        crashes_s: When each crashing request ended a replica, by its path and body.
-        words: What replicas asked of gateways in their answers.
-        limits: Limits that replicas named in their answers.
+        runs: Number of times that replicas ran each request, by request id.
+        at_most_once: Ids of requests that must not run twice.
+        not_run: Ids of requests whose response guarantees that they did not run.
+        statuses: Number of responses by status; 0 if the connection closed without one.
+        violations: Violated guarantees, one line each.
+        acknowledged: Newest acknowledged version of the routes.
+        acknowledged_at_s: Time of each acknowledgement, by version.
+        sent: Requests by request id.
+        limited_runs: Send and arrival time of each request of the limited tenant.
+        crashes_at_s: Times at which each crashing request crashed a replica, by path and body.
+        signals: Backoffs and drains that replicas requested in their responses.
+        limits: Rate limits that replicas advertised in their responses.
     """
 
     runs: Counter[str] = field(default_factory=Counter)
@@ -61,100 +61,108 @@
     statuses: Counter[int] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
     acknowledged: int = 0
-    acknowledged_s: dict[int, float] = field(default_factory=dict)
+    acknowledged_at_s: dict[int, float] = field(default_factory=dict)
     sent: dict[str, SentRequest] = field(default_factory=dict)
     limited_runs: list[tuple[float, float]] = field(default_factory=list)
-    crashes_s: dict[tuple[str, bytes], list[float]] = field(default_factory=dict)
-    words: SignalLedger = field(default_factory=SignalLedger)
+    crashes_at_s: dict[tuple[str, bytes], list[float]] = field(default_factory=dict)
+    signals: SignalLedger = field(default_factory=SignalLedger)
     limits: LimitLedger = field(default_factory=LimitLedger)
 
-    def arrived(self, request_id: str, life: str, now_s: float) -> GatewayLife | None:
-        """Note that a request arrived at a replica; return the gateway that sent it there."""
+    def note_arrival(self, request_id: str, instance_id: str, now_s: float) -> GatewayRun | None:
+        """Record that a request arrived at a replica; return the gateway run that forwarded it."""
         sent = self.sent.get(request_id)
         if sent is None or sent.gateway is None:
             return None
-        what = self.words.arrival(life, sent.gateway, sent.sent_s, now_s)
-        if what is not None:
-            self.broken(f"{request_id}: {what}")
-        self.limits.arrived(life, sent.gateway, now_s)
+        violation = self.signals.check_arrival(instance_id, sent.gateway, sent.sent_at_s, now_s)
+        if violation is not None:
+            self.note_violation(f"{request_id}: {violation}")
+        self.limits.note_arrival(instance_id, sent.gateway, now_s)
         return sent.gateway
 
-    def crashed(self, path: str, body: bytes, now_s: float) -> None:
-        """Note that a request ends a replica."""
-        self.crashes_s.setdefault((path, body), []).append(now_s)
+    def note_crash(self, path: str, body: bytes, now_s: float) -> None:
+        """Record that a request crashed a replica."""
+        self.crashes_at_s.setdefault((path, body), []).append(now_s)
 
     def note_acknowledged(self, version: int, now_s: float) -> None:
-        """Note that a version was acknowledged."""
+        """Record that a version of the routes was acknowledged."""
         self.acknowledged = version
-        self.acknowledged_s[version] = now_s
+        self.acknowledged_at_s[version] = now_s
 
-    def ran(self, request_id: str, headers: dict[str, str], tenant: str, now_s: float) -> None:
-        """Take in that a replica runs a request.
+    def note_run(self, request_id: str, headers: dict[str, str], tenant: str, now_s: float) -> None:
+        """Record that a replica runs a request, and check what it received.
 
         Args:
-            request_id: Its id.
-            headers: What the replica was sent, by lower-case names.
-            tenant: The tenant that it was told.
-            now_s: The clock.
+            request_id: Id of the request.
+            headers: Headers that the replica received, by lower-case name.
+            tenant: Tenant in the tenant header.
+            now_s: Monotonic time.
         """
         self.runs[request_id] += 1
         sent = self.sent.get(request_id)
         if sent is None:
             return
         if "authorization" in headers:
-            self.broken(f"{request_id}: the key was passed on")
+            self.note_violation(f"{request_id}: the API key was forwarded")
         if tenant != sent.key.tenant:
-            self.broken(f"{request_id}: of {sent.key.tenant}, passed on as {tenant!r}")
+            self.note_violation(f"{request_id}: of {sent.key.tenant}, forwarded as {tenant!r}")
         if sent.key.tenant == LIMITED:
-            self.limited_runs.append((sent.sent_s, now_s))
-        if sent.key.version and sent.sent_s > self._taken_s(sent.key.version) + REVOCATION_S:
-            self.broken(f"{request_id}: ran with a key that was taken away long before")
-
-    def _taken_s(self, version: int) -> float:
-        """Return the clock when the key of a version was taken away: the next acknowledgement."""
-        versions = sorted(self.acknowledged_s)
+            self.limited_runs.append((sent.sent_at_s, now_s))
+        if (
+            sent.key.version
+            and sent.sent_at_s > self._revoked_at_s(sent.key.version) + MAX_REVOCATION_S
+        ):
+            self.note_violation(f"{request_id}: ran with a key that was revoked long before")
+
+    def _revoked_at_s(self, version: int) -> float:
+        """Return when the key of a version was revoked: at the next acknowledgement."""
+        versions = sorted(self.acknowledged_at_s)
         following = bisect_right(versions, version)
         if following == len(versions):
             return float("inf")
-        return self.acknowledged_s[versions[following]]
+        return self.acknowledged_at_s[versions[following]]
 
     def _check_rate(self) -> None:
-        """Count the limited tenant's requests that were sent and arrived within one window."""
+        """Check the number of the limited tenant's requests sent and received in one window."""
         allowed = RATE_PER_S * QUOTA_WINDOW_S + BURST
-        most = max(
+        max_requests = max(
             (
                 sum(
                     1
-                    for sent_s, arrived_s in self.limited_runs
-                    if begin_s <= sent_s and arrived_s <= begin_s + QUOTA_WINDOW_S
+                    for sent_at_s, arrived_at_s in self.limited_runs
+                    if window_start_s <= sent_at_s
+                    and arrived_at_s <= window_start_s + QUOTA_WINDOW_S
                 )
-                for begin_s, _ in self.limited_runs
+                for window_start_s, _ in self.limited_runs
             ),
             default=0,
         )
-        if most > allowed:
-            self.broken(f"{most} requests of the limited tenant in a window, {allowed:g} allowed")
+        if max_requests > allowed:
+            self.note_violation(
+                f"{max_requests} requests of the limited tenant in a window, {allowed:g} allowed"
+            )
 
-    def broken(self, what: str) -> None:
-        """Note a promise that was broken."""
-        self.violations.append(what)
+    def note_violation(self, violation: str) -> None:
+        """Record a violated guarantee."""
+        self.violations.append(violation)
 
-    def answered(self, request_id: str, status: int, body: bytes, expected: bytes) -> None:
-        """Take in an answer."""
+    def note_response(self, request_id: str, status: int, body: bytes, expected: bytes) -> None:
+        """Record a response and check it against the expected body."""
         self.statuses[status] += 1
         if status in NOT_RUN_STATUSES:
             self.not_run.add(request_id)
         if status == 503 and b'"quarantined"' in body:
-            self.broken(f"{request_id}: refused for a crash that it has no part in")
+            self.note_violation(f"{request_id}: rejected for a crash that it did not cause")
         if status == 200 and body != expected:
-            self.broken(f"{request_id}: another answer than its own: {body[:80]!r}")
+            self.note_violation(f"{request_id}: response to another request: {body[:80]!r}")
 
-    def settle(self) -> None:
-        """Check at the end what holds for all requests together."""
+    def check_totals(self) -> None:
+        """Check at the end the guarantees that cover all requests together."""
         self._check_rate()
-        self.violations += self.limits.broken()
+        self.violations += self.limits.violations()
         for request_id, count in self.runs.items():
             if count > 1 and request_id in self.at_most_once:
-                self.broken(f"{request_id}: ran {count} times")
+                self.note_violation(f"{request_id}: ran {count} times")
             if count and request_id in self.not_run:
-                self.broken(f"{request_id}: ran though it was answered as not run")
+                self.note_violation(
+                    f"{request_id}: ran although its response guarantees that it did not"
+                )
--- a/src/crowsill_lab/soak/limits.py
+++ b/src/crowsill_lab/soak/limits.py
@@ -1,4 +1,4 @@
-"""Replicas of a soak that name limits: when they begin to, and whether all gateways keep them."""
+"""Makes replicas of a soak advertise rate limits and checks that gateways comply with them."""
 
 import asyncio
 import time
@@ -7,22 +7,23 @@
 from random import Random
 from typing import Protocol
 
-from crowsill_lab.soak.signal_ledger import GatewayLife
+from crowsill_lab.soak.signal_ledger import GatewayRun
 from crowsill_lab.windows import max_events_in_window
 
-# What is counted: any window of this length, from so long after a limit was named first, of
-# gateways that had passed it on so long before.
+# Length of the windows in which requests are counted.
 WINDOW_S = 4.0
+# Requests count only from this time after a replica began to advertise the limit.
 SETTLE_S = 3.0
+# Requests of a gateway count only from this time after its first response that reported the limit.
 GATEWAY_SETTLE_S = 0.5
 RATES_PER_S = (0.5, 1.0, 2.0, 5.0)
-SHORTEST_LIMIT_S = 6.0
-LONGEST_LIMIT_S = 14.0
-LONGEST_PAUSE_S = 4.0
+MIN_LIMIT_DURATION_S = 6.0
+MAX_LIMIT_DURATION_S = 14.0
+MAX_PAUSE_S = 4.0
 
 
 def max_requests_in_window(per_s: float) -> float:
-    """Return the requests that a replica may get in a window.
+    """Return the maximum number of requests that a replica may receive in a window.
 
     >>> max_requests_in_window(1.0)
     11.0
@@ -31,133 +32,137 @@
 
 
 @dataclass(slots=True)
-class _Naming:
-    """One time in which a life of a replica names one limit.
+class _AdvertisedLimit:
+    """A period in which one incarnation of a replica advertises one limit.
 
     Attributes:
-        per_s: The limit.
-        since_s: Clock of its beginning.
-        told_s: When each gateway first passed it on.
-        arrivals: When requests came, and of which gateway; oldest first.
+        per_s: The limit in requests a second.
+        started_at_s: Monotonic time at which the period began.
+        first_reported_at_s: When each gateway first reported the limit to a caller.
+        arrivals: Time and gateway of each request that arrived; oldest first.
     """
 
     per_s: float
-    since_s: float
-    told_s: dict[GatewayLife, float] = field(default_factory=dict)
-    arrivals: list[tuple[float, GatewayLife]] = field(default_factory=list)
+    started_at_s: float
+    first_reported_at_s: dict[GatewayRun, float] = field(default_factory=dict)
+    arrivals: list[tuple[float, GatewayRun]] = field(default_factory=list)
 
-    def fullest(self) -> int:
-        """Return the most requests that count in one window."""
-        counted_s = [
+    def max_counted_in_window(self) -> int:
+        """Return the maximum number of counted requests in one window."""
+        counted_at_s = [
             at_s
             for at_s, gateway in self.arrivals
-            if at_s >= self.told_s.get(gateway, float("inf")) + GATEWAY_SETTLE_S
-            and at_s >= self.since_s + SETTLE_S
+            if at_s >= self.first_reported_at_s.get(gateway, float("inf")) + GATEWAY_SETTLE_S
+            and at_s >= self.started_at_s + SETTLE_S
         ]
-        return max_events_in_window(counted_s, WINDOW_S)
+        return max_events_in_window(counted_at_s, WINDOW_S)
 
 
 @dataclass(slots=True)
 class LimitLedger:
-    """Limits by the life of a replica. Clocks are of one kind.
+    """Advertised limits by replica incarnation. All times are of the same monotonic clock.
 
-    >>> limits, gateway = LimitLedger(), GatewayLife("g1", 1, 0)
-    >>> limits.named("i-1@1", 1.0, now_s=10.0)
-    >>> limits.passed_on("i-1@1", gateway, now_s=10.2)
+    >>> limits, gateway = LimitLedger(), GatewayRun("g1", 1, 0)
+    >>> limits.note_advertised("i-1@1", 1.0, now_s=10.0)
+    >>> limits.note_reported("i-1@1", gateway, now_s=10.2)
     >>> for number in range(12):
-    ...     limits.arrived("i-1@1", gateway, now_s=14.0 + number / 10)
-    >>> limits.broken()
-    ['i-1@1 names 1 a second and got 12 requests in 4 s, 11 allowed']
+    ...     limits.note_arrival("i-1@1", gateway, now_s=14.0 + number / 10)
+    >>> limits.violations()
+    ['i-1@1 advertises 1 request/s and received 12 requests in 4 s, 11 allowed']
     """
 
-    _present: dict[str, _Naming] = field(default_factory=dict)
-    _namings: list[tuple[str, _Naming]] = field(default_factory=list)
-
-    def named(self, life: str, per_s: float, now_s: float) -> None:
-        """Note that a replica begins to name a limit."""
-        naming = _Naming(per_s, now_s)
-        self._present[life] = naming
-        self._namings.append((life, naming))
-
-    def ended(self, life: str) -> None:
-        """Note that a replica names none any more."""
-        self._present.pop(life, None)
-
-    def passed_on(self, life: str, gateway: GatewayLife, now_s: float) -> None:
-        """Note that a gateway passed on an answer that names a limit."""
-        naming = self._present.get(life)
-        if naming is not None:
-            naming.told_s.setdefault(gateway, now_s)
-
-    def arrived(self, life: str, gateway: GatewayLife, now_s: float) -> None:
-        """Note that a request came."""
-        naming = self._present.get(life)
-        if naming is not None:
-            naming.arrivals.append((now_s, gateway))
-
-    def broken(self) -> list[str]:
-        """Return which limits were not kept."""
+    _current: dict[str, _AdvertisedLimit] = field(default_factory=dict)
+    _advertised: list[tuple[str, _AdvertisedLimit]] = field(default_factory=list)
+
+    def note_advertised(self, instance_id: str, per_s: float, now_s: float) -> None:
+        """Record that a replica begins to advertise a limit."""
+        limit = _AdvertisedLimit(per_s, now_s)
+        self._current[instance_id] = limit
+        self._advertised.append((instance_id, limit))
+
+    def note_withdrawn(self, instance_id: str) -> None:
+        """Record that a replica no longer advertises a limit."""
+        self._current.pop(instance_id, None)
+
+    def note_reported(self, instance_id: str, gateway: GatewayRun, now_s: float) -> None:
+        """Record that a gateway forwarded a response that advertises a limit."""
+        limit = self._current.get(instance_id)
+        if limit is not None:
+            limit.first_reported_at_s.setdefault(gateway, now_s)
+
+    def note_arrival(self, instance_id: str, gateway: GatewayRun, now_s: float) -> None:
+        """Record that a request arrived."""
+        limit = self._current.get(instance_id)
+        if limit is not None:
+            limit.arrivals.append((now_s, gateway))
+
+    def violations(self) -> list[str]:
+        """Return a line for each limit that was exceeded."""
         return [
-            f"{life} names {naming.per_s:g} a second and got {naming.fullest()} requests in "
-            f"{WINDOW_S:g} s, {max_requests_in_window(naming.per_s):g} allowed"
-            for life, naming in self._namings
-            if naming.fullest() > max_requests_in_window(naming.per_s)
+            f"{instance_id} advertises {limit.per_s:g} request/s and received "
+            f"{limit.max_counted_in_window()} requests in {WINDOW_S:g} s, "
+            f"{max_requests_in_window(limit.per_s):g} allowed"
+            for instance_id, limit in self._advertised
+            if limit.max_counted_in_window() > max_requests_in_window(limit.per_s)
         ]
 
 
-class Limited(Protocol):
-    """A replica that can name a limit."""
+class LimitedReplica(Protocol):
+    """A replica that can advertise a rate limit."""
 
     name: str
 
-    def name_limit(self, per_s: float | None) -> None:
-        """Name a limit from now on, or none."""
+    def advertise_limit(self, per_s: float | None) -> None:
+        """Advertise a limit in requests a second from now on, or none."""
 
 
-class LimitMaker:
-    """Has replicas name limits, beside all other faults; one of them at least names none."""
+class LimitInjector:
+    """Makes replicas advertise limits during all other faults; at least one advertises none."""
 
     def __init__(
-        self, replicas: Callable[[], list[Limited]], random: Random, note: Callable[[str], None]
+        self,
+        replicas: Callable[[], list[LimitedReplica]],
+        random: Random,
+        note: Callable[[str], None],
     ) -> None:
-        """Make it.
+        """Initialize the injector.
 
         Args:
-            replicas: Returns the replicas that are there.
-            random: Decides which one names what, and when.
-            note: Receives a line for each.
+            replicas: Returns the current replicas.
+            random: Decides which replica advertises which limit, and when.
+            note: Receives a line for each advertised limit.
         """
         self._replicas = replicas
         self._random = random
         self._note = note
-        self._until_s: dict[str, float] = {}
+        self._until_at_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Go on until cancelled; then no replica names any."""
+        """Run until cancelled; then no replica advertises a limit."""
         try:
             while True:
-                await asyncio.sleep(self._random.random() * LONGEST_PAUSE_S)
-                self._end_those_that_are_over()
+                await asyncio.sleep(self._random.random() * MAX_PAUSE_S)
+                self._withdraw_expired_limits()
                 replicas = self._replicas()
-                limited = [replica for replica in replicas if replica.name in self._until_s]
+                limited = [replica for replica in replicas if replica.name in self._until_at_s]
                 if len(limited) < len(replicas) - 1:
                     self._begin(self._random.choice(replicas))
         finally:
             for replica in self._replicas():
-                replica.name_limit(None)
+                replica.advertise_limit(None)
 
-    def _begin(self, replica: Limited) -> None:
-        if replica.name in self._until_s:
+    def _begin(self, replica: LimitedReplica) -> None:
+        if replica.name in self._until_at_s:
             return
         per_s = self._random.choice(RATES_PER_S)
-        span_s = LONGEST_LIMIT_S - SHORTEST_LIMIT_S
-        lasts_s = SHORTEST_LIMIT_S + self._random.random() * span_s
-        self._until_s[replica.name] = time.monotonic() + lasts_s
+        span_s = MAX_LIMIT_DURATION_S - MIN_LIMIT_DURATION_S
+        duration_s = MIN_LIMIT_DURATION_S + self._random.random() * span_s
+        self._until_at_s[replica.name] = time.monotonic() + duration_s
         self._note(f"limit {replica.name} {per_s:g}")
-        replica.name_limit(per_s)
+        replica.advertise_limit(per_s)
 
-    def _end_those_that_are_over(self) -> None:
+    def _withdraw_expired_limits(self) -> None:
         for replica in self._replicas():
-            if self._until_s.get(replica.name, float("inf")) < time.monotonic():
-                del self._until_s[replica.name]
-                replica.name_limit(None)
+            if self._until_at_s.get(replica.name, float("inf")) < time.monotonic():
+                del self._until_at_s[replica.name]
+                replica.advertise_limit(None)
--- a/src/crowsill_lab/soak/operator.py
+++ b/src/crowsill_lab/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: version after version of the routes, each with a route of its own."""
+"""The operator of a soak: publishes versions of the routes, each with one route of its own."""
 
 import asyncio
 import time
@@ -23,11 +23,11 @@
 
 HOST_NAME = "shop.example"
 TIMEOUT_MS = 3000.0
-LONGEST_PAUSE_S = 1.5
+MAX_PAUSE_S = 1.5
 
 
 def routes_of(version: int) -> RouteConfiguration:
-    """Return a version: two routes that stay, and one that only this version has."""
+    """Return a version: two routes that every version has, and one that only this version has."""
 
     def route(name: str, kind: RouteKind, attempts: int) -> Route:
         share = [WeightedService(SERVICE, 1.0)]
@@ -43,33 +43,33 @@
 
 
 class Operator:
-    """Publishes versions until cancelled."""
+    """Publishes versions of the routes until cancelled."""
 
     def __init__(self, site: SoakSite | SeededSite, ledger: Ledger, random: Random) -> None:
         self._site = site
         self._ledger = ledger
         self._random = random
-        self.acknowledged_s = 0.0
+        self.acknowledged_at_s = 0.0
 
     async def publish(self, version: int) -> None:
-        """Send a version to one member after the other until one acknowledges it."""
+        """Send a version to randomly chosen members until one acknowledges it."""
         body = msgspec.json.encode(routes_of(version))
         while not await self._send(body):
             await asyncio.sleep(0.1)
         self._ledger.note_acknowledged(version, time.monotonic())
-        self.acknowledged_s = time.monotonic()
+        self.acknowledged_at_s = time.monotonic()
 
     async def _send(self, body: bytes) -> bool:
         member = self._random.choice(self._site.members)
         status = await put(member, "/v1/routes", body)
         if 400 <= status < 500:
-            self._ledger.broken(f"a valid version was refused: {status}")
+            self._ledger.note_violation(f"a valid version was rejected: {status}")
         return status == 200
 
     async def run(self) -> None:
-        """Publish one version after the other."""
+        """Publish increasing versions until cancelled."""
         version = self._ledger.acknowledged
         while True:
             version += self._random.randint(1, 3)
             await self.publish(version)
-            await asyncio.sleep(self._random.random() * LONGEST_PAUSE_S)
+            await asyncio.sleep(self._random.random() * MAX_PAUSE_S)
--- a/src/crowsill_lab/soak/runner.py
+++ b/src/crowsill_lab/soak/runner.py
@@ -1,4 +1,4 @@
-"""One soak: bursts of faults, and after each a calm in which everything must work again."""
+"""Runs a soak: bursts of faults, each followed by a recovery within a bounded time."""
 
 import asyncio
 import time
@@ -8,22 +8,22 @@
 
 import aiohttp
 
-from crowsill_lab.soak.caller import SoakCaller, ask
-from crowsill_lab.soak.culprit import Culprit
+from crowsill_lab.soak.caller import SoakCaller, send_request
+from crowsill_lab.soak.crashing_request import CrashingRequest
 from crowsill_lab.soak.faults import FaultInjector
 from crowsill_lab.soak.ledger import Ledger
-from crowsill_lab.soak.limits import LimitMaker
+from crowsill_lab.soak.limits import LimitInjector
 from crowsill_lab.soak.operator import Operator
 from crowsill_lab.soak.replica import SoakReplica
 from crowsill_lab.soak.seeded_site import SeededSite
-from crowsill_lab.soak.signals import SignalMaker
+from crowsill_lab.soak.signals import SignalInjector
 from crowsill_lab.soak.site import SoakSite
 from crowsill_lab.soak.watcher import VersionWatcher
 
 BURST_S = 6.0
-# Within this time after the last fault of a burst all must work again.
-CALM_BOUND_S = 12.0
-START_BOUND_S = 20.0
+# All gateways must serve again within this time after the last fault of a burst.
+MAX_RECOVERY_S = 12.0
+MAX_START_S = 20.0
 POLL_S = 0.2
 REPLICAS = 3
 CALLERS = 4
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """A soak.
+    """Parameters of a soak.
 
     Attributes:
-        seed: Decides the faults and all else that is random.
-        seconds: How long bursts are begun.
-        members: Control members.
-        gateways: Gateways.
-        folder: Where settings, data and logs go.
-        pointers: Control processes without a disk. With any, the group forms itself from seeds,
-            and disks, machines, seeds and the power of all machines are lost as well.
-        has_signals: Whether replicas shed, ask for rest, and leave by word of their answers, too.
-        has_limits: Whether replicas name limits in their answers, too.
+        seed: Seed of the faults and of all other random choices.
+        seconds: Time in seconds during which new bursts are started.
+        members: Number of control members.
+        gateways: Number of gateways.
+        folder: Folder of the settings, data and logs.
+        pointers: Number of control processes without a disk. If it isn't 0, the group forms itself
+            from seeds, and disks, machines, seeds and the power of all machines are lost as well.
+        has_signals: Whether replicas also shed requests, request backoffs, and drain by responses.
+        has_limits: Whether replicas also advertise rate limits in their responses.
     """
 
     seed: int
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakReport:
-    """What a soak found.
+    """Result of a soak.
 
     Attributes:
-        seed: Its seed.
-        statuses: Answers by status; 0 where the connection ended.
-        faults: What was done.
-        versions: Versions of the routes that were acknowledged, by the newest one's number.
-        violations: Promises broken.
+        seed: Seed of the soak.
+        statuses: Number of responses by status; 0 if the connection closed without one.
+        faults: A line for each injected fault.
+        versions: Newest acknowledged version of the routes.
+        violations: Violated guarantees.
     """
 
     seed: int
@@ -74,12 +74,14 @@
     violations: list[str]
 
     def text(self) -> str:
-        """Return the report as it is shown."""
-        answers = ", ".join(f"{status}: {count}" for status, count in sorted(self.statuses.items()))
+        """Return the report as printed."""
+        statuses = ", ".join(
+            f"{status}: {count}" for status, count in sorted(self.statuses.items())
+        )
         lines = [
             f"seed {self.seed}: {len(self.faults)} faults, newest version {self.versions}",
             f"  faults: {'; '.join(self.faults)}",
-            f"  answers: {answers}",
+            f"  answers: {statuses}",
             *(f"  BROKEN {line}" for line in self.violations),
         ]
         return "\n".join(lines)
@@ -95,14 +97,14 @@
         self._site = _site_of(plan)
         self._replicas: list[SoakReplica] = []
         self._watchers: list[VersionWatcher] = []
-        self._culprits: list[Culprit] = []
+        self._crashing_requests: list[CrashingRequest] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> SoakReport:
-        """Run it; all processes are ended at its end."""
+        """Run the soak, then terminate all processes."""
         try:
             await self._site.start()
-            return await self._run()
+            return await self._run_bursts()
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -111,62 +113,62 @@
                 await replica.stop()
             self._site.stop()
 
-    def _draw(self) -> Random:
-        """Return a source of randomness of its own, so that tasks do not disturb one another."""
+    def _new_random(self) -> Random:
+        """Return a new random source, so that draws of one task do not change those of another."""
         return Random(self._random.getrandbits(64))
 
-    async def _run(self) -> SoakReport:
+    async def _run_bursts(self) -> SoakReport:
         ledger, site = self._ledger, self._site
         for number in range(1, REPLICAS + 1):
-            replica = SoakReplica(number, site, ledger, self._draw())
+            replica = SoakReplica(number, site, ledger, self._new_random())
             await replica.start()
             self._replicas.append(replica)
-        operator = Operator(site, ledger, self._draw())
-        await asyncio.wait_for(operator.publish(1), START_BOUND_S)
+        operator = Operator(site, ledger, self._new_random())
+        await asyncio.wait_for(operator.publish(1), MAX_START_S)
         self._watchers = [VersionWatcher(gateway, ledger) for gateway in site.gateways]
-        await self._calm("start", START_BOUND_S)
-        self._begin(operator)
-        faults = FaultInjector(site, self._replicas, ledger, self._draw())
-        # Of a seed of its own, so that the other faults of a seed stay what they were.
+        await self._wait_until_recovered("start", MAX_START_S)
+        self._start_traffic(operator)
+        faults = FaultInjector(site, self._replicas, ledger, self._new_random())
+        # Separate seeds keep the other faults of a seed unchanged.
         signals = Random(f"words of {self._plan.seed}")
         limits = Random(f"limits of {self._plan.seed}")
-        # Through the calms, too: what a limit allows is counted over several seconds.
-        naming = asyncio.create_task(self._limit(limits, faults))
-        self._tasks.append(naming)
-        until_s = time.monotonic() + self._plan.seconds
-        while time.monotonic() < until_s and not ledger.violations:
-            culprit = Culprit(site.gateways, ledger, self._draw())
-            self._culprits.append(culprit)
-            sending = asyncio.create_task(culprit.run())
-            speaking = asyncio.create_task(self._speak(signals, faults))
-            self._tasks += [sending, speaking]
+        # Runs during the recoveries too, because a limit is checked over several seconds.
+        limit_task = asyncio.create_task(self._inject_limits(limits, faults))
+        self._tasks.append(limit_task)
+        until_at_s = time.monotonic() + self._plan.seconds
+        while time.monotonic() < until_at_s and not ledger.violations:
+            request = CrashingRequest(site.gateways, ledger, self._new_random())
+            self._crashing_requests.append(request)
+            crash_task = asyncio.create_task(request.run())
+            signal_task = asyncio.create_task(self._inject_signals(signals, faults))
+            self._tasks += [crash_task, signal_task]
             await faults.burst(BURST_S)
-            sending.cancel()
-            speaking.cancel()
-            await self._calm(f"after {len(faults.done)} faults", CALM_BOUND_S)
-        naming.cancel()
+            crash_task.cancel()
+            signal_task.cancel()
+            await self._wait_until_recovered(f"after {len(faults.injected)} faults", MAX_RECOVERY_S)
+        limit_task.cancel()
         if not ledger.violations:
-            await faults.close()
-            await self._calm("after the last loss", CALM_BOUND_S)
-        ledger.settle()
+            await faults.inject_final_loss()
+            await self._wait_until_recovered("after the last loss", MAX_RECOVERY_S)
+        ledger.check_totals()
         statuses = dict(ledger.statuses)
         return SoakReport(
-            self._plan.seed, statuses, faults.done, ledger.acknowledged, ledger.violations
+            self._plan.seed, statuses, faults.injected, ledger.acknowledged, ledger.violations
         )
 
-    async def _speak(self, random: Random, faults: FaultInjector) -> None:
-        """Have replicas shed and leave by their answers, if the plan says so, until cancelled."""
+    async def _inject_signals(self, random: Random, faults: FaultInjector) -> None:
+        """Make replicas shed and drain by responses until cancelled, if the plan has signals."""
         if self._plan.has_signals:
-            await SignalMaker(lambda: list(self._replicas), random, faults.done.append).run()
+            await SignalInjector(lambda: list(self._replicas), random, faults.injected.append).run()
 
-    async def _limit(self, random: Random, faults: FaultInjector) -> None:
-        """Have replicas name limits, if the plan says so, until cancelled."""
+    async def _inject_limits(self, random: Random, faults: FaultInjector) -> None:
+        """Make replicas advertise limits until cancelled, if the plan has limits."""
         if self._plan.has_limits:
-            await LimitMaker(lambda: list(self._replicas), random, faults.done.append).run()
+            await LimitInjector(lambda: list(self._replicas), random, faults.injected.append).run()
 
-    def _begin(self, operator: Operator) -> None:
+    def _start_traffic(self, operator: Operator) -> None:
         callers = [
-            SoakCaller(gateway, self._ledger, self._draw())
+            SoakCaller(gateway, self._ledger, self._new_random())
             for gateway in self._site.gateways
             for _ in range(CALLERS)
         ]
@@ -174,29 +176,29 @@
         self._tasks += [asyncio.create_task(caller.run()) for caller in callers]
         self._tasks += [asyncio.create_task(watcher.run()) for watcher in self._watchers]
 
-    async def _calm(self, when: str, bound_s: float) -> None:
-        """Wait until every gateway serves, and has what is acknowledged in force."""
-        deadline_s = time.monotonic() + bound_s
+    async def _wait_until_recovered(self, context: str, max_s: float) -> None:
+        """Wait until every gateway serves with the newest acknowledged version of the routes."""
+        deadline_at_s = time.monotonic() + max_s
         timeout = aiohttp.ClientTimeout(total=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for gateway, watcher in zip(self._site.gateways, self._watchers, strict=True):
                 while True:
                     version = self._ledger.acknowledged
-                    answer = await ask(session, gateway, "/safe/x", self._ledger)
-                    in_force = watcher.seen >= version or await watcher.is_in_force(
+                    response = await send_request(session, gateway, "/safe/x", self._ledger)
+                    in_force = watcher.newest_seen >= version or await watcher.is_in_force(
                         session, version
                     )
-                    if answer.status == 200 and in_force:
+                    if response.status == 200 and in_force:
                         break
-                    if time.monotonic() > deadline_s:
-                        self._ledger.broken(
-                            f"{when}: {gateway.name} does not serve version {version}: "
-                            f"{answer.status}"
+                    if time.monotonic() > deadline_at_s:
+                        self._ledger.note_violation(
+                            f"{context}: {gateway.name} does not serve version {version}: "
+                            f"{response.status}"
                         )
                         return
                     await asyncio.sleep(POLL_S)
-        for culprit in self._culprits:
-            await culprit.check(when)
+        for request in self._crashing_requests:
+            await request.check(context)
 
 
 def _site_of(plan: SoakPlan) -> SoakSite | SeededSite:
@@ -206,5 +208,5 @@
 
 
 def run_soak(plan: SoakPlan) -> SoakReport:
-    """Run a soak and return what it found."""
+    """Run a soak and return its report."""
     return asyncio.run(Soak(plan).run())
--- a/src/crowsill_lab/soak/seeded_site.py
+++ b/src/crowsill_lab/soak/seeded_site.py
@@ -1,7 +1,8 @@
-"""The site of a soak in which machines, disks and seeds are lost: a group that forms by itself.
+"""The site of a soak that loses machines, disks and seeds: a group that forms by itself.
 
-Each machine has an address of its own and all have the same ports, as processes without a disk
-need it to send callers on. The group forms from the first seeds and repairs itself.
+Each machine has its own address, and all use the same ports, because a process without a disk
+redirects callers to the same port of another host. The group forms from the first seeds and
+repairs itself.
 """
 
 import json
@@ -10,7 +11,7 @@
 from pathlib import Path
 
 from crowsill_lab.demo.processes import ManagedProcess, free_ports, module_command, wait_for_port
-from crowsill_lab.soak.site import GRACE_S, READINESS_LAG_S, START_TIMEOUT_S, Gateway, Member
+from crowsill_lab.soak.site import DRAIN_GRACE_S, READINESS_LAG_S, START_TIMEOUT_S, Gateway, Member
 
 SEEDS = 3
 
@@ -23,8 +24,9 @@
     """A control process of a self-forming group.
 
     Attributes:
-        has_disk: Whether it may become a member; one without points callers at the members.
-        bootstraps: Whether this is its first start of all.
+        has_disk: Whether it may become a member. A process without a disk redirects callers to
+            the members.
+        bootstraps: Whether the process may form a new group; true only for the first start.
     """
 
     def __init__(self, name: str, host: str, ports: list[int], has_disk: bool) -> None:
@@ -39,13 +41,13 @@
 
 
 class SeededSite:
-    """All processes of such a soak.
+    """All processes of a soak whose group forms from seeds.
 
     Attributes:
         members: Control processes, those without a disk last.
         gateways: Gateways.
-        seeds: Control processes that the settings name.
-        tolerated_losses: Disks that may be lost at once.
+        seeds: Control processes that the settings files list as seeds.
+        tolerated_losses: Number of disks that may be lost at the same time.
     """
 
     def __init__(self, folder: Path, members: int, gateways: int, pointers: int) -> None:
@@ -86,7 +88,7 @@
             member.process = self._start(member.name)
         for gateway in self.gateways:
             gateway.process = self._start(gateway.name)
-            gateway.lives = 1
+            gateway.starts = 1
         for member in self.members:
             wait_for_port(member.registrations, START_TIMEOUT_S, member.host)
         for member in self.members:
@@ -99,7 +101,7 @@
         return process
 
     def write_settings(self) -> None:
-        """Write every settings file anew."""
+        """Rewrite every settings file."""
         for member in self.members:
             self._write(member.name, self._member_settings(member))
         for gateway in self.gateways:
@@ -138,32 +140,32 @@
             f"callers = {_address(gateway.host, gateway.callers)}",
             f"ready = {_address(gateway.host, gateway.ready)}",
             f"control_seeds = [{self._seed_addresses()}]",
-            f"grace_s = {GRACE_S}",
+            f"grace_s = {DRAIN_GRACE_S}",
             f"readiness_lag_s = {READINESS_LAG_S}",
         ]
         return "\n".join(lines) + "\n"
 
     def lose_disk(self, member: SeededMember) -> None:
-        """Empty the disk of a member that does not run."""
+        """Delete the data of a member whose process is not running."""
         shutil.rmtree(self._folder / member.name, ignore_errors=True)
 
-    def replace(self, gone: SeededMember) -> SeededMember:
-        """Put a machine with an empty disk in the place of one that is gone for good."""
-        fresh = self._new_member(has_disk=True)
-        fresh.bootstraps = False
-        self.members[self.members.index(gone)] = fresh
-        self.seeds = [fresh if seed is gone else seed for seed in self.seeds]
+    def replace(self, removed: SeededMember) -> SeededMember:
+        """Replace a permanently removed machine by a new one with an empty disk."""
+        replacement = self._new_member(has_disk=True)
+        replacement.bootstraps = False
+        self.members[self.members.index(removed)] = replacement
+        self.seeds = [replacement if seed is removed else seed for seed in self.seeds]
         self.write_settings()
-        fresh.process = self._start(fresh.name)
-        return fresh
+        replacement.process = self._start(replacement.name)
+        return replacement
 
     def processes(self) -> list[ManagedProcess]:
-        """Return all processes that were started and are not gone for good."""
+        """Return all started processes except those of removed machines."""
         machines: list[Member | Gateway] = [*self.members, *self.gateways]
         return [machine.process for machine in machines if machine.process is not None]
 
     def stop(self) -> None:
-        """End every process that was ever started, by its own id."""
+        """Terminate every process that was ever started, by its process id."""
         for process in self._started:
             process.send(signal.SIGCONT)
             process.end()
--- a/src/crowsill_lab/soak/signals.py
+++ b/src/crowsill_lab/soak/signals.py
@@ -1,4 +1,4 @@
-"""What a replica of a soak says of itself in its answers, sound and odd; and when it begins to."""
+"""Makes replicas of a soak shed requests and drain, with valid and malformed headers."""
 
 import asyncio
 import time
@@ -7,15 +7,16 @@
 from random import Random
 from typing import Protocol
 
-# A replica sheds for so long, and turns away such a share meanwhile.
-SHORTEST_SHED_S = 1.0
-LONGEST_SHED_S = 4.0
+# Duration of load shedding, and the share of requests that the replica rejects meanwhile.
+MIN_SHED_S = 1.0
+MAX_SHED_S = 4.0
 SHED_SHARE = 0.7
-LONGEST_PAUSE_S = 2.5
-# A replica that leaves by word of its answers alone ends so long after.
-LEAVING_S = 4.0
-# Values of Retry-After, each with the rest that it asks for. One word among several is enough.
-RESTS: tuple[tuple[tuple[str, ...], float], ...] = (
+MAX_PAUSE_S = 2.5
+# A replica that reports its drain only in responses stops after this time.
+DRAIN_S = 4.0
+# Values of `Retry-After` headers and the backoff in seconds that they request. With several headers
+# one valid value is enough.
+RETRY_AFTER_CASES: tuple[tuple[tuple[str, ...], float], ...] = (
     (("1",), 1.0),
     (("2.5",), 2.5),
     (("0.75",), 0.75),
@@ -28,66 +29,69 @@
 )
 
 
-class Speaker(Protocol):
-    """A replica that can shed, and leave by word of its answers alone."""
+class SignallingReplica(Protocol):
+    """A replica that can shed requests, and report a drain only in its responses."""
 
     name: str
 
-    def shed_until(self, until_s: float) -> None:
-        """Turn requests away and ask for rest until a clock."""
+    def shed_until(self, until_at_s: float) -> None:
+        """Reject requests and request backoffs until a monotonic time."""
 
-    async def leave_by_answers(self, after_s: float) -> None:
-        """Say in answers that it leaves, and end some time later; heartbeats still say ready."""
+    async def drain_by_responses(self, after_s: float) -> None:
+        """Report a drain in responses while heartbeats report ready, and stop after a time."""
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """What a refusal says.
+class Rejection:
+    """The headers of a rejection.
 
     Attributes:
         values: Values of its `Retry-After` headers.
-        rest_s: The rest that they ask for.
+        backoff_s: The backoff that they request.
     """
 
     values: tuple[str, ...]
-    rest_s: float
+    backoff_s: float
 
 
-def draw_refusal(random: Random) -> Refusal:
-    """Draw what a replica that sheds says."""
-    return Refusal(*random.choice(RESTS))
+def draw_rejection(random: Random) -> Rejection:
+    """Draw the headers of a rejection by a replica that sheds requests."""
+    return Rejection(*random.choice(RETRY_AFTER_CASES))
 
 
-class SignalMaker:
-    """Has replicas shed and leave, one after the other, beside all other faults."""
+class SignalInjector:
+    """Makes replicas shed requests and drain in sequence, during all other faults."""
 
     def __init__(
-        self, replicas: Callable[[], list[Speaker]], random: Random, note: Callable[[str], None]
+        self,
+        replicas: Callable[[], list[SignallingReplica]],
+        random: Random,
+        note: Callable[[str], None],
     ) -> None:
-        """Make it.
+        """Initialize the injector.
 
         Args:
-            replicas: Returns the replicas that are there.
-            random: Decides which one does what and when.
-            note: Receives a line for each.
+            replicas: Returns the current replicas.
+            random: Decides which replica sheds or drains, and when.
+            note: Receives a line for each signal.
         """
         self._replicas = replicas
         self._random = random
         self._note = note
-        self._leaving: set[asyncio.Task[None]] = set()
+        self._draining: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Go on until cancelled; what has begun to leave ends all the same."""
+        """Run until cancelled; replicas that have begun to drain still stop."""
         while True:
-            await asyncio.sleep(self._random.random() * LONGEST_PAUSE_S)
-            speaker = self._random.choice(self._replicas())
+            await asyncio.sleep(self._random.random() * MAX_PAUSE_S)
+            replica = self._random.choice(self._replicas())
             if self._random.random() < 0.5:
-                span_s = LONGEST_SHED_S - SHORTEST_SHED_S
-                shed_s = SHORTEST_SHED_S + self._random.random() * span_s
-                self._note(f"shed {speaker.name}")
-                speaker.shed_until(time.monotonic() + shed_s)
+                span_s = MAX_SHED_S - MIN_SHED_S
+                shed_s = MIN_SHED_S + self._random.random() * span_s
+                self._note(f"shed {replica.name}")
+                replica.shed_until(time.monotonic() + shed_s)
                 continue
-            self._note(f"leave by answers {speaker.name}")
-            task = asyncio.create_task(speaker.leave_by_answers(LEAVING_S))
-            self._leaving.add(task)
-            task.add_done_callback(self._leaving.discard)
+            self._note(f"leave by answers {replica.name}")
+            task = asyncio.create_task(replica.drain_by_responses(DRAIN_S))
+            self._draining.add(task)
+            task.add_done_callback(self._draining.discard)
--- a/src/crowsill_lab/soak/site.py
+++ b/src/crowsill_lab/soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: control members behind relays, and gateways."""
+"""Starts the processes of a soak: control members behind relays, and gateways."""
 
 import json
 import signal
@@ -6,10 +6,10 @@
 
 from crowsill_lab.demo.processes import ManagedProcess, free_ports, module_command, wait_for_port
 from crowsill_lab.relay import SilencingRelay
-from crowsill_lab.soak.signal_ledger import GatewayLife
+from crowsill_lab.soak.signal_ledger import GatewayRun
 
 HOST = "127.0.0.1"
-GRACE_S = 3.0
+DRAIN_GRACE_S = 3.0
 READINESS_LAG_S = 0.5
 START_TIMEOUT_S = 10.0
 
@@ -22,8 +22,8 @@
     """A control member.
 
     Attributes:
-        host: IP number.
-        relay: Through which others reach it, or None.
+        host: IP address.
+        relay: Relay through which other processes reach the member, or None.
         registrations: Port for replicas and operators.
     """
 
@@ -56,10 +56,11 @@
     """A gateway.
 
     Attributes:
-        host: IP number.
+        host: IP address.
         callers: Port for callers.
-        lives: How often it was started.
-        cuts: Number of kills and pauses so far; a request that meets one may end without an answer.
+        starts: Number of starts.
+        interruptions: Counts the start and the end of each kill and pause. A request that
+            overlaps one may end without a response.
     """
 
     def __init__(self, number: int) -> None:
@@ -67,12 +68,12 @@
         self.host = HOST
         self.callers, self.ready = free_ports(2)
         self.process: ManagedProcess | None = None
-        self.lives = 0
-        self.cuts = 0
+        self.starts = 0
+        self.interruptions = 0
 
-    def life(self) -> GatewayLife:
-        """Return its present uninterrupted run."""
-        return GatewayLife(self.name, self.lives, self.cuts)
+    def current_run(self) -> GatewayRun:
+        """Return the current uninterrupted run."""
+        return GatewayRun(self.name, self.starts, self.interruptions)
 
     def settings(self, members: list[Member]) -> str:
         """Return the settings file's text."""
@@ -84,14 +85,14 @@
             f"callers = {_address(self.callers)}",
             f"ready = {_address(self.ready)}",
             f"control_seeds = [{seeds}]",
-            f"grace_s = {GRACE_S}",
+            f"grace_s = {DRAIN_GRACE_S}",
             f"readiness_lag_s = {READINESS_LAG_S}",
         ]
         return "\n".join(lines) + "\n"
 
 
 class SoakSite:
-    """All processes of a soak."""
+    """All processes of a soak whose control members are listed in the settings."""
 
     def __init__(self, folder: Path, members: int, gateways: int) -> None:
         self._folder = folder
@@ -108,7 +109,7 @@
             member.process = self._start(member.name, text)
         for gateway in self.gateways:
             gateway.process = self._start(gateway.name, gateway.settings(self.members))
-            gateway.lives = 1
+            gateway.starts = 1
         for member in self.members:
             wait_for_port(member.registrations, START_TIMEOUT_S)
 
@@ -119,12 +120,12 @@
 
     def processes(self) -> list[ManagedProcess]:
         """Return all processes that were started."""
-        found = [member.process for member in self.members]
-        found += [gateway.process for gateway in self.gateways]
-        return [process for process in found if process is not None]
+        processes = [member.process for member in self.members]
+        processes += [gateway.process for gateway in self.gateways]
+        return [process for process in processes if process is not None]
 
     def stop(self) -> None:
-        """End every process by its own id."""
+        """Terminate every process by its process id."""
         for process in self.processes():
             process.send(signal.SIGCONT)
             process.end()
--- a/src/crowsill_lab/soak/tenants.py
+++ b/src/crowsill_lab/soak/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of a soak: a steady one, one with a rate, and one whose key every version changes."""
+"""Tenants of a soak: one with a fixed key, one with a rate limit, one with rotating keys."""
 
 import hashlib
 from dataclasses import dataclass
@@ -8,24 +8,25 @@
 
 STEADY = "steady"
 LIMITED = "limited"
-TURNING = "turning"
+ROTATING = "turning"
 RATE_PER_S = 20.0
 BURST = 60.0
-# Windows of the product's default settings, in which the rate and the bound of a taken key hold.
+# Defaults of the product: the rate holds in this window, and a revoked key is rejected after this
+# time.
 QUOTA_WINDOW_S = 10.0
-REVOCATION_S = 5.0
-# Callers of the turning tenant use keys up to so many versions old: most were taken away before.
-OLDEST_KEYS = 8
+MAX_REVOCATION_S = 5.0
+# Callers of the rotating tenant use keys of this many last versions: most are already revoked.
+MAX_KEY_AGE_VERSIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class CallerKey:
-    """A key and whose it is.
+    """An API key and its tenant.
 
     Attributes:
         tenant: The tenant's name.
-        key: What the caller shows.
-        version: Version of the routes that gave the key, where each version changes it; else 0.
+        key: The key that the caller sends.
+        version: Version of the routes that defines a rotating key; 0 for other keys.
     """
 
     tenant: str
@@ -37,9 +38,9 @@
 LIMITED_KEY = CallerKey(LIMITED, "limited-key")
 
 
-def turning_key(version: int) -> CallerKey:
-    """Return the key that only one version knows."""
-    return CallerKey(TURNING, f"key-of-{version}", version)
+def rotating_key(version: int) -> CallerKey:
+    """Return the key that is valid in one version only."""
+    return CallerKey(ROTATING, f"key-of-{version}", version)
 
 
 def draw_key(random: Random, acknowledged: int) -> CallerKey:
@@ -47,14 +48,14 @@
 
     Args:
         random: Source of randomness.
-        acknowledged: Newest version that was acknowledged.
+        acknowledged: Newest acknowledged version of the routes.
     """
     drawn = random.random()
     if drawn < 0.5:
         return STEADY_KEY
     if drawn < 0.75:
         return LIMITED_KEY
-    return turning_key(max(1, acknowledged - random.randrange(OLDEST_KEYS)))
+    return rotating_key(max(1, acknowledged - random.randrange(MAX_KEY_AGE_VERSIONS)))
 
 
 def tenants_of(version: int) -> list[Tenant]:
@@ -62,7 +63,7 @@
     return [
         Tenant(STEADY, [_digest(STEADY_KEY)]),
         Tenant(LIMITED, [_digest(LIMITED_KEY)], rate_per_s=RATE_PER_S, burst=BURST),
-        Tenant(TURNING, [_digest(turning_key(version))]),
+        Tenant(ROTATING, [_digest(rotating_key(version))]),
     ]
 
 
