--- a/tests/patterns/test_engines_with_a_rate_limit.py
+++ b/tests/patterns/test_engines_with_a_rate_limit.py
@@ -24,7 +24,7 @@
 def sent_to_limited(outcome, count):
     """Return when requests were sent to each limited engine after all gateways know the limit."""
     sent_s = {number: [] for number in range(count)}
-    for at_s, number, _ in outcome.sent_s:
+    for at_s, number, _ in outcome.sent_at_s:
         if number < count and SETTLED_S <= at_s < ENDS_S:
             sent_s[number].append(at_s)
     return sent_s
