--- a/src/crowsill/gateway/replica_registry.py
+++ b/src/crowsill/gateway/replica_registry.py
@@ -243,10 +243,10 @@
             now_s: Current monotonic time.
         """
         for instance_id, record in self._records.items():
-            use, mine = total.get(instance_id, NO_USE), own.get(instance_id, NO_USE)
+            use, own_use = total.get(instance_id, NO_USE), own.get(instance_id, NO_USE)
             others = ReplicaUse(
-                max(0, use.requests - mine.requests),
-                max(0, use.prompt_tokens - mine.prompt_tokens),
+                max(0, use.requests - own_use.requests),
+                max(0, use.prompt_tokens - own_use.prompt_tokens),
             )
             record.note_peer_use(others, now_s)
 
--- a/src/crowsill/gateway/replica_watch.py
+++ b/src/crowsill/gateway/replica_watch.py
@@ -10,7 +10,7 @@
 from crowsill.model.instances import InstanceState
 from crowsill.transport.replica_messages import DrainingInstances, SuspectInstances
 
-RECONNECT_S = 0.5
+RECONNECT_INTERVAL_S = 0.5
 RECONNECT_TIMEOUT_S = 1.0
 # The control group records that a replica drains and informs all gateways within half this time.
 DRAIN_REPORT_INTERVAL_S = 0.5
@@ -57,7 +57,7 @@
         """Try to connect until it succeeds or the replica is removed or drains."""
         instance_id = record.instance.instance_id
         while self._registry.find(instance_id) is record and record.instance.accepts_work:
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
             try:
                 connection = await self._pool.acquire(record.instance, RECONNECT_TIMEOUT_S)
             except ConnectError:
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -276,8 +276,8 @@
     """Return the estimate with the lowest score; ties are broken at random."""
     scores = [estimate.score_ms(now_s) for estimate in estimates]
     minimum_ms = min(scores)
-    preferred = [item for item, score in zip(estimates, scores, strict=True) if score == minimum_ms]
-    return preferred[0] if len(preferred) == 1 else random.choice(preferred)
+    lowest = [item for item, score in zip(estimates, scores, strict=True) if score == minimum_ms]
+    return lowest[0] if len(lowest) == 1 else random.choice(lowest)
 
 
 def _best(
--- a/tests/patterns/test_engines_with_a_rate_limit.py
+++ b/tests/patterns/test_engines_with_a_rate_limit.py
@@ -16,7 +16,7 @@
 SETTLED_S = STARTS_S + 3.0
 
 
-def play(seed, count, per_s):
+def simulate(seed, count, per_s):
     advertised_limits = AdvertisedLimits(count, per_s, STARTS_S, ENDS_S)
     return popular_site(seed, rate=200.0, engines=60, advertised_limits=advertised_limits).run(25)
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_other_engines_serve_what_limited_engines_do_not_accept(seed):
-    outcome = play(seed, 18, 1.0)
+    outcome = simulate(seed, 18, 1.0)
     sent_s = sent_to_limited(outcome, 18)
     assert max(
         max_events_in_window(times_s, WINDOW_S) for times_s in sent_s.values()
@@ -42,7 +42,7 @@
 
 
 def test_capacity_under_the_limits_of_all_engines_is_used():
-    outcome = play(1, 60, 3.0)
+    outcome = simulate(1, 60, 3.0)
     sent_s = sent_to_limited(outcome, 60)
     assert max(
         max_events_in_window(times_s, WINDOW_S) for times_s in sent_s.values()
--- a/tests/patterns/test_loading_model.py
+++ b/tests/patterns/test_loading_model.py
@@ -30,7 +30,7 @@
 MODEL = ModelWeights("m", 70.0, LOAD_S, 0.8, 1.7)
 
 
-def play(route, arrived_s, seed):
+def simulate(route, arrived_s, seed):
     """Return when a caller is served, or rejected and with which retry time."""
     instance = Instance(
         "i-1",
@@ -65,7 +65,7 @@
 
 def test_urgent_callers_are_rejected_at_once_with_the_time_when_it_is_ready():
     # Each caller arrives so early that it would leave before the model is ready.
-    ends = [play(URGENT, 4.0 * number / CALLERS, number) for number in range(CALLERS)]
+    ends = [simulate(URGENT, 4.0 * number / CALLERS, number) for number in range(CALLERS)]
     assert {outcome for outcome, _, _ in ends} == {"rejected"}
     assert all(
         at_s == pytest.approx(4.0 * number / CALLERS) for number, (_, at_s, _) in enumerate(ends)
@@ -74,7 +74,7 @@
 
 
 def test_rejected_callers_do_not_retry_at_the_same_time():
-    retries_at_s = sorted(play(URGENT, 0.0, number)[2] for number in range(CALLERS))
+    retries_at_s = sorted(simulate(URGENT, 0.0, number)[2] for number in range(CALLERS))
     window_s = 0.02
     max_together = max(
         sum(start <= other < start + window_s for other in retries_at_s) for start in retries_at_s
@@ -83,10 +83,10 @@
 
 
 def test_callers_that_can_wait_are_served():
-    ends = [play(NON_URGENT, 8.0 * number / CALLERS, number) for number in range(CALLERS)]
+    ends = [simulate(NON_URGENT, 8.0 * number / CALLERS, number) for number in range(CALLERS)]
     assert sum(outcome == "served" for outcome, _, _ in ends) >= 0.9 * CALLERS
 
 
 def test_callers_shortly_before_the_model_is_ready_wait_for_it():
-    ends = [play(URGENT, 6.5 + number / CALLERS, number) for number in range(CALLERS)]
+    ends = [simulate(URGENT, 6.5 + number / CALLERS, number) for number in range(CALLERS)]
     assert {outcome for outcome, _, _ in ends} == {"served"}
--- a/tests/test_unnamed_refusals.py
+++ b/tests/test_rejections_without_backoff.py
@@ -32,10 +32,10 @@
     """
 
     async def scenario():
-        async with world(reject_not_run, respond_after_work, models=()) as played:
-            caller = await played.caller()
+        async with world(reject_not_run, respond_after_work, models=()) as here:
+            caller = await here.caller()
             statuses = [(await caller.request("safe", f"r{n}"))[0] for n in range(REQUESTS)]
-            request_count = len(played._replicas[0].requests)
+            request_count = len(here._replicas[0].requests)
             assert request_count <= REQUESTS // 4, (
                 f"chosen {request_count} times; {statuses.count(503)} rejected"
             )
@@ -46,12 +46,12 @@
 
 def test_a_replica_that_accepts_requests_again_is_used_again():
     async def scenario():
-        async with world(reject_first(8), respond_after_work, models=()) as played:
-            callers = [await played.caller() for _ in range(8)]
+        async with world(reject_first(8), respond_after_work, models=()) as here:
+            callers = [await here.caller() for _ in range(8)]
             for number in range(REQUESTS):
                 pending = [caller.request("safe", f"r{number}") for caller in callers]
                 await asyncio.gather(*pending)
-            request_counts = [len(replica.requests) for replica in played._replicas]
+            request_counts = [len(replica.requests) for replica in here._replicas]
             assert request_counts[0] - 8 >= REQUESTS * len(callers) // 4
 
     run(scenario())
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -336,12 +336,18 @@
 
 
 @given(REPORTS, st.randoms(use_true_random=False))
-def test_the_merged_state_of_a_limit_does_not_depend_on_the_order_of_reports(observations, random):
+def test_what_is_known_of_a_limit_does_not_depend_on_who_tells_it_first(observations, random):
     # A replica advertises one limit at a time.
     observations = list(
-        {named: (per_s, named, ended) for per_s, named, ended in observations}.values()
+        {
+            advertised_ago_s: (per_s, advertised_ago_s, lifted_ago_s)
+            for per_s, advertised_ago_s, lifted_ago_s in observations
+        }.values()
     )
-    reports = [LimitReport("i", per_s, float(named), ended) for per_s, named, ended in observations]
+    reports = [
+        LimitReport("i", per_s, float(advertised_ago_s), lifted_ago_s)
+        for per_s, advertised_ago_s, lifted_ago_s in observations
+    ]
     shuffled = random.sample(reports, len(reports))
     known = []
     for order in (reports, shuffled, shuffled + reports):
--- a/tests/test_replica_rest.py
+++ b/tests/test_replica_rest.py
@@ -17,8 +17,8 @@
 
 RUN_S = 0.2
 # Capacity of a replica that sheds, and of one that can take all requests.
-FEW_PLACES = 3
-MANY_PLACES = 64
+LOW_CAPACITY = 3
+HIGH_CAPACITY = 64
 # Requests sent before the replica asked for a backoff may arrive up to this long after.
 IN_TRANSIT_S = 0.5
 MAX_IN_BACKOFF = 2
@@ -43,9 +43,9 @@
 class WatchedReplica(StandInReplica):
     """Records its requests and rejects those beyond its capacity with a backoff."""
 
-    def __init__(self, site, number, service, places=MANY_PLACES, backoff_s=3.0):
+    def __init__(self, site, number, service, capacity=HIGH_CAPACITY, backoff_s=3.0):
         super().__init__(site, number, service)
-        self.places = places
+        self.capacity = capacity
         self.backoff_s = backoff_s
         self.running = 0
         self.backoffs = []
@@ -66,7 +66,7 @@
         for backoff in self.backoffs:
             if backoff.gateway == gateway and now_s < backoff.requested_at_s + backoff.backoff_s:
                 backoff.arrivals_s.append(now_s - backoff.requested_at_s)
-        if self.running >= self.places:
+        if self.running >= self.capacity:
             self.backoffs.append(Backoff(gateway, now_s, self.backoff_s, []))
             echoed = f"{ID}: {headers[ID.lower()]}"
             return 503, [echoed, "X-Crowsill-Not-Run: 1", f"Retry-After: {self.backoff_s:g}"], b""
@@ -85,7 +85,7 @@
 def test_a_replica_gets_nothing_in_its_backoff(tmp_path, kind, attempts):
     with site_of_three(tmp_path) as site:
         shedding = [
-            WatchedReplica(site, number, "till", FEW_PLACES, backoff_s)
+            WatchedReplica(site, number, "till", LOW_CAPACITY, backoff_s)
             for number, backoff_s in enumerate((3.0, 2.5))
         ]
         with_capacity = [WatchedReplica(site, n, "till") for n in range(2, 4)]
@@ -146,7 +146,7 @@
     async def shed_everything(site, replicas):
         await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
-            replica.places = 0
+            replica.capacity = 0
         return await send_requests(site, replicas)
 
     with site_of_three(tmp_path) as site:
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -383,11 +383,11 @@
     served, and 84% of the backoffs began within a second of the end of the last one.
     """
     monkeypatch.setattr(returns, "PLAYED_S", 40.0)
-    played = {}
+    simulations = {}
     for way in ("all at once", "one first, half of what it had"):
-        play = returns._Play(returns.WAYS[way], 9, Random(1))
-        play.play(0.9)
-        played[way] = play
-    before, after = played.values()
+        simulation = returns._Play(returns.WAYS[way], 9, Random(1))
+        simulation.play(0.9)
+        simulations[way] = simulation
+    before, after = simulations.values()
     assert after.served > 1.2 * before.served
     assert after.again <= after.rests / 10
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("records", "asked", "tried", "expected"),
+    ("records", "requested", "tried", "expected"),
     [
         ([], request(), set(), NoReplicaReason.NO_REPLICA),
         (
@@ -74,8 +74,8 @@
         ([record("a", in_flight=10)], request(), set(), NoReplicaReason.ALL_FULL),
     ],
 )
-def test_reason_why_no_replica_can_be_chosen(records, asked, tried, expected):
-    assert choose(records, asked, tried, LIMITS, 0.0) is expected
+def test_reason_why_no_replica_can_be_chosen(records, requested, tried, expected):
+    assert choose(records, requested, tried, LIMITS, 0.0) is expected
 
 
 def test_an_engine_gets_no_more_than_it_serves_in_time():
