--- a/src/crowsill/backends/__init__.py
+++ b/src/crowsill/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to engines, services and the platform list."""
+"""Adapters for engines, services and the platform's list of machines."""
--- a/src/crowsill/backends/engine_calls.py
+++ b/src/crowsill/backends/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to registered engines: orders, and reports of what they hold."""
+"""Calls to registered engines: orders, and reports of their loaded models."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,11 +16,11 @@
     Attributes:
         kind: Load or unload.
         model: The model.
-        adapter: An adapter of it; empty for the model itself.
-        expected_sequence: Orders that the engine must have accepted before, so that a copy that
-            arrives late changes nothing.
-        holder: Name of the member that gives orders.
-        fence: Rises with every leadership.
+        adapter: An adapter of the model; empty for the model itself.
+        expected_sequence: Number of orders that the engine must have accepted before this one, so
+            that a late duplicate has no effect.
+        holder: Name of the member that sends the order.
+        fence: Fencing token; increases with every leadership term.
     """
 
     kind: OrderKind
@@ -31,58 +31,59 @@
     fence: int
 
 
-class OrderAnswer(StrEnum):
-    """What an engine answered to an order.
+class OrderResponse(StrEnum):
+    """An engine's response to an order.
 
     Attributes:
-        ACCEPTED: It is being carried out.
-        ALREADY_SO: It holds already.
-        NOT_NOW: Another order is under way, or the expected number of orders does not match.
-        STALE_FENCE: A later leader has given orders.
-        OTHER_INSTANCE: Another life, or another replica, has the address.
-        INVALID: There is no such order.
-        RESTS: The engine asked for rest: the order was turned away, or not even sent.
-        UNKNOWN: No answer came, so that it may still be carried out.
+        ACCEPTED: The engine executes the order.
+        ALREADY_DONE: The engine is already in the requested state.
+        CONFLICT: Another order is in progress, or the expected number of orders does not match.
+        STALE_FENCE: The engine has received orders from a later leader.
+        OTHER_INSTANCE: The address belongs to another incarnation or another replica.
+        INVALID: The engine does not accept such an order.
+        BACKING_OFF: The engine requested a backoff and rejected the order, or the order was not
+            sent because of the backoff.
+        UNKNOWN: No valid response arrived; the engine may still execute the order.
     """
 
     ACCEPTED = "accepted"
-    ALREADY_SO = "already_so"
-    NOT_NOW = "not_now"
+    ALREADY_DONE = "already_so"
+    CONFLICT = "not_now"
     STALE_FENCE = "stale_fence"
     OTHER_INSTANCE = "other_instance"
     INVALID = "invalid"
-    RESTS = "rests"
+    BACKING_OFF = "rests"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine told of itself, some hundred milliseconds ago.
+    """State of an engine, as reported by itself; may be some hundred milliseconds old.
 
     Attributes:
-        models: What it holds.
-        coming: Adapters on their way, as `model/adapter`.
+        models: Loaded models.
+        loading_adapters: Adapters that are being loaded, as `model/adapter`.
         is_busy: Whether an order is in progress.
-        sequence: Orders that it has accepted.
+        sequence: Number of orders that the engine has accepted.
     """
 
     models: list[LoadedModel]
-    coming: list[str]
+    loading_adapters: list[str]
     is_busy: bool
     sequence: int
 
 
 class EngineCalls(Protocol):
-    """Speaks to engines; one implementation for each dialect.
+    """Client for engines; each wire protocol has its own implementation.
 
     Attributes:
-        on_draining: Receives the ids of lives that said in an answer that they leave.
+        on_draining: Called with the ids of incarnations whose response reported that they drain.
     """
 
     on_draining: Callable[[list[str]], None]
 
-    async def order(self, instance: Instance, order: EngineOrder) -> OrderAnswer:
-        """Send an order; `UNKNOWN` when no answer came, so that it may still be carried out."""
+    async def order(self, instance: Instance, order: EngineOrder) -> OrderResponse:
+        """Send an order; return `UNKNOWN` if no valid response arrived."""
 
     async def report(self, instance: Instance) -> EngineReport | None:
-        """Read a report; None when it could not be had."""
+        """Read a report; return None if no valid report arrived."""
--- a/src/crowsill/backends/http_cache.py
+++ b/src/crowsill/backends/http_cache.py
@@ -1,4 +1,4 @@
-"""Prompt caches of engines over HTTP, by aiohttp."""
+"""Access to the prompt caches of engines over HTTP, with aiohttp."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from crowsill.backends.interface import CacheEvents, CallFailure, RefusalReason
+from crowsill.backends.interface import CacheEvents, CallFailure, FailureReason
 from crowsill.backends.wire import PATH_CACHE_EVENTS, PATH_KV
 from crowsill.errors import Outcome
 from crowsill.model.fleet import ReplicaDescription
@@ -30,20 +30,20 @@
                     response.raise_for_status()
                     return Success(await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            return Failure(CallFailure(Outcome.UNKNOWN, RefusalReason.FAILED, repr(error)))
+            return Failure(CallFailure(Outcome.UNKNOWN, FailureReason.FAILED, repr(error)))
 
     async def cache_events(
         self, replica: ReplicaDescription, after: int
     ) -> Result[CacheEvents, CallFailure]:
-        """Return the events after number `after` that the engine still has."""
+        """Return the events after number `after` that the engine still keeps."""
         url = f"http://{replica.address}{PATH_CACHE_EVENTS}?after={after}"
-        answered = await self._exchange("GET", url, None, EVENTS_TIMEOUT_S)
-        if not isinstance(answered, Success):
-            return Failure(answered.failure())
+        response = await self._exchange("GET", url, None, EVENTS_TIMEOUT_S)
+        if not isinstance(response, Success):
+            return Failure(response.failure())
         try:
-            return Success(msgspec.json.decode(answered.unwrap(), type=CacheEvents))
+            return Success(msgspec.json.decode(response.unwrap(), type=CacheEvents))
         except msgspec.DecodeError as error:
-            return Failure(CallFailure(Outcome.UNKNOWN, RefusalReason.FAILED, str(error)))
+            return Failure(CallFailure(Outcome.UNKNOWN, FailureReason.FAILED, str(error)))
 
     async def export_kv(
         self, replica: ReplicaDescription, request_id: str
@@ -55,10 +55,10 @@
     async def import_kv(
         self, replica: ReplicaDescription, request_id: str, data: bytes
     ) -> Result[None, CallFailure]:
-        """Give an engine the KV cache of a request, so that it can go on with it."""
+        """Import the KV cache of a request into an engine, which can then continue the request."""
         url = f"http://{replica.address}{PATH_KV}/{request_id}"
-        answered = await self._exchange("PUT", url, data, KV_TIMEOUT_S)
-        return answered.map(lambda _body: None)
+        response = await self._exchange("PUT", url, data, KV_TIMEOUT_S)
+        return response.map(lambda _body: None)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/src/crowsill/backends/http_control.py
+++ b/src/crowsill/backends/http_control.py
@@ -1,4 +1,4 @@
-"""Reports and orders of back ends, and the platform's list, over HTTP by aiohttp."""
+"""Reports from back ends, orders to them, and the platform's list of machines, over HTTP."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from crowsill.backends.interface import CallFailure, OrderReply, RefusalReason
+from crowsill.backends.interface import CallFailure, FailureReason, OrderReply
 from crowsill.backends.wire import PATH_MACHINES, PATH_ORDERS, PATH_REPORT, MachineList, OrderBody
 from crowsill.errors import Outcome
 from crowsill.model.fleet import ReplicaDescription, ReplicaReport
@@ -19,7 +19,7 @@
     202: OrderReply.ACCEPTED,
     409: OrderReply.STALE,
     410: OrderReply.OTHER_INCARNATION,
-    507: OrderReply.REFUSED,
+    507: OrderReply.REJECTED,
 }
 
 
@@ -30,7 +30,7 @@
         """Make an adapter.
 
         Args:
-            platform_list: `IP:port` of the platform's list.
+            platform_list: `IP:port` of the service that serves the platform's list of machines.
         """
         self._platform_list = platform_list
         connector = aiohttp.TCPConnector(limit=0)
@@ -44,16 +44,16 @@
             return await response.read()
 
     async def report(self, replica: ReplicaDescription) -> Result[ReplicaReport, CallFailure]:
-        """Ask a back end for its report."""
+        """Read the report of a back end."""
         try:
             content = await self._get(f"http://{replica.address}{PATH_REPORT}")
             return Success(msgspec.json.decode(content, type=ReplicaReport))
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.DecodeError) as error:
-            failure = CallFailure(Outcome.NOT_RUN, RefusalReason.UNREACHABLE, repr(error))
+            failure = CallFailure(Outcome.NOT_RUN, FailureReason.UNREACHABLE, repr(error))
             return Failure(failure)
 
     async def order(self, replica: ReplicaDescription, order: Order) -> OrderReply:
-        """Send an order."""
+        """Send an order; return `UNKNOWN` without a conclusive response."""
         body = OrderBody(
             order.order_id,
             order.term,
@@ -67,12 +67,12 @@
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_S):
                 async with self._session.post(url, data=content) as response:
-                    return _ORDER_REPLIES.get(response.status, OrderReply.LOST)
+                    return _ORDER_REPLIES.get(response.status, OrderReply.UNKNOWN)
         except (aiohttp.ClientError, OSError, TimeoutError):
-            return OrderReply.LOST
+            return OrderReply.UNKNOWN
 
     async def machines(self) -> Result[list[ReplicaDescription], str]:
-        """Read the platform's list."""
+        """Read the platform's list of machines."""
         try:
             content = await self._get(f"http://{self._platform_list}{PATH_MACHINES}")
             return Success(msgspec.json.decode(content, type=MachineList).machines)
--- a/src/crowsill/backends/interface.py
+++ b/src/crowsill/backends/interface.py
@@ -1,7 +1,7 @@
-"""The port to back ends: what crowsill needs of them, free of any wire format.
+"""Interfaces to back ends, independent of any wire format.
 
-`control` members use `EnginePort` and `PlatformPort`; entries use `CallPort`. Another dialect of
-the usual protocols needs another adapter behind these, and nothing else.
+Control members use `EnginePort` and `PlatformPort`; entries use `CallPort` and `CachePort`. Another
+wire protocol needs only another implementation of these interfaces.
 """
 
 from dataclasses import dataclass
@@ -17,42 +17,55 @@
 from crowsill.state.orders import Order
 
 
-class RefusalReason(StrEnum):
-    """Why a call did not give an answer."""
+class FailureReason(StrEnum):
+    """Reason why a call returned no usable response.
 
-    NOT_HERE = "not_here"
-    LEAVING = "leaving"
+    Attributes:
+        NOT_LOADED: The replica does not hold the requested model or adapter.
+        DRAINING: The replica drains.
+        FULL: The replica has no capacity, or rejected the request for an unknown reason.
+        UNREACHABLE: No connection could be established, or no valid report could be read.
+        CONNECTION_LOST: The connection failed before the head of the response arrived.
+        FAILED: The replica responded with a server error, or a call to its cache failed.
+        MISMATCHED: The response belongs to another request.
+        TIMED_OUT: No response arrived in time.
+    """
+
+    NOT_LOADED = "not_here"
+    DRAINING = "leaving"
     FULL = "full"
     UNREACHABLE = "unreachable"
-    BROKEN = "broken"
+    CONNECTION_LOST = "broken"
     FAILED = "failed"
-    FOREIGN = "foreign"
+    MISMATCHED = "foreign"
     TIMED_OUT = "timed_out"
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """A call that gave no answer.
+    """A call that returned no usable response.
 
     Attributes:
-        outcome: NOT_RUN only if no byte can have reached the back end, or it said so itself.
-        reason: What happened.
-        detail: For the log.
-        rest_s: How long from now the back end wants nothing from this process; 0 without a word.
+        outcome: `NOT_RUN` only if no byte can have reached the back end, or if the back end
+            reported that it did not run the request.
+        reason: Reason of the failure.
+        detail: Further description for diagnosis.
+        backoff_s: Seconds for which the back end requests no further requests from this process; 0
+            if it requests no backoff.
     """
 
     outcome: Outcome
-    reason: RefusalReason
+    reason: FailureReason
     detail: str = ""
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
 
 
-class TruncatedAnswerError(Exception):
-    """A back end's answer ended before its end."""
+class TruncatedResponseError(Exception):
+    """A back end's response ended before it was complete."""
 
 
-class BackendAnswer(Protocol):
-    """An answer whose head has arrived."""
+class BackendResponse(Protocol):
+    """A response whose head has arrived."""
 
     @property
     def status(self) -> int:
@@ -63,14 +76,14 @@
         """Content type of the body."""
 
     async def read(self) -> bytes:
-        """Return the next part of the body as it arrives; nothing at its end.
+        """Return the next part of the body as it arrives; empty bytes at the end.
 
         Raises:
-            TruncatedAnswerError: It ended before its end.
+            TruncatedResponseError: The body ended before it was complete.
         """
 
     def close(self) -> None:
-        """Drop the connection; it is not used again unless the body was read whole."""
+        """Close the connection; it is reused only if the body was read to its end."""
 
 
 class CallPort(Protocol):
@@ -78,20 +91,25 @@
 
     async def send(
         self, replica: ReplicaDescription, request: ClassifiedRequest, timeout_s: float
-    ) -> Result[BackendAnswer, CallFailure]:
+    ) -> Result[BackendResponse, CallFailure]:
         """Send a request once and wait for the head of the answer."""
 
     async def resume(
         self, replica: ReplicaDescription, request_id: str, offset: int, timeout_s: float
-    ) -> Result[BackendAnswer, CallFailure]:
+    ) -> Result[BackendResponse, CallFailure]:
         """Continue a stream at a byte offset."""
 
     async def cancel(self, replica: ReplicaDescription, request_id: str) -> None:
-        """Tell an engine that nobody waits for a stream any more."""
+        """Cancel a stream at an engine; best effort."""
 
 
 class CacheEvent(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt prefix entered an engine's cache, or left it."""
+    """A change of an engine's prompt cache.
+
+    Attributes:
+        prefix: Hash of the prompt prefix.
+        stored: Whether the prefix was added; otherwise it was evicted.
+    """
 
     prefix: int
     stored: bool
@@ -101,8 +119,8 @@
     """Consecutive cache events of one engine.
 
     Attributes:
-        incarnation: The engine's incarnation; its numbering starts over with each.
-        first: Number of the first event; higher than asked for when events were lost.
+        incarnation: The engine's incarnation; event numbers restart with each incarnation.
+        first: Number of the first event; higher than requested if events were lost.
         events: The events.
     """
 
@@ -117,7 +135,7 @@
     async def cache_events(
         self, replica: ReplicaDescription, after: int
     ) -> Result[CacheEvents, CallFailure]:
-        """Return the events after number `after` that the engine still has."""
+        """Return the events after number `after` that the engine still keeps."""
 
     async def export_kv(
         self, replica: ReplicaDescription, request_id: str
@@ -127,31 +145,39 @@
     async def import_kv(
         self, replica: ReplicaDescription, request_id: str, data: bytes
     ) -> Result[None, CallFailure]:
-        """Give an engine the KV cache of a request, so that it can go on with it."""
+        """Import the KV cache of a request into an engine, which can then continue the request."""
 
 
 class OrderReply(StrEnum):
-    """An engine's immediate reply to an order."""
+    """An engine's immediate reply to an order.
+
+    Attributes:
+        ACCEPTED: The engine executes the order.
+        STALE: The fencing token is not newer than that of the last accepted order.
+        OTHER_INCARNATION: The order is for another incarnation of the engine.
+        REJECTED: The engine has too little memory for the order.
+        UNKNOWN: No conclusive reply arrived; the engine may still execute the order.
+    """
 
     ACCEPTED = "accepted"
     STALE = "stale"
     OTHER_INCARNATION = "other_incarnation"
-    REFUSED = "refused"
-    LOST = "lost"
+    REJECTED = "refused"
+    UNKNOWN = "lost"
 
 
 class EnginePort(Protocol):
-    """Observes and orders back ends."""
+    """Reads reports of back ends and sends orders to them."""
 
     async def report(self, replica: ReplicaDescription) -> Result[ReplicaReport, CallFailure]:
-        """Ask a back end for its report."""
+        """Read the report of a back end."""
 
     async def order(self, replica: ReplicaDescription, order: Order) -> OrderReply:
-        """Send an order; it may be sent again, and take effect once."""
+        """Send an order; a repeated order takes effect only once."""
 
 
 class PlatformPort(Protocol):
     """Reads the platform's list of machines."""
 
     async def machines(self) -> Result[list[ReplicaDescription], str]:
-        """Return the machines the platform lists, or why they cannot be had."""
+        """Return the machines that the platform lists, or a description of the failure."""
--- a/src/crowsill/backends/wire.py
+++ b/src/crowsill/backends/wire.py
@@ -1,18 +1,18 @@
-"""Names and bodies on the wire towards back ends and the platform's list."""
+"""HTTP paths, headers and bodies of the protocol with back ends and the platform's list."""
 
 import msgspec
 
 from crowsill.model.fleet import ReplicaDescription
 
 HEADER_PRIORITY = "X-Priority"
-HEADER_REFUSAL = "X-Not-Run"
+HEADER_NOT_RUN = "X-Not-Run"
 
 PATH_REPORT = "/v1/report"
 PATH_ORDERS = "/v1/orders"
 PATH_STREAMS = "/v1/streams"
 PATH_CACHE_EVENTS = "/v1/cache-events"
 PATH_KV = "/v1/kv"
-HEADER_PREFIX = "X-Prefix-Hash"
+HEADER_PREFIX_HASH = "X-Prefix-Hash"
 PATH_MACHINES = "/v1/machines"
 
 STREAM_END = b"data: [DONE]\n\n"
@@ -23,7 +23,7 @@
 
 
 class OrderBody(msgspec.Struct, frozen=True):
-    """The body of an order; `(term, order_id)` is the fence."""
+    """Body of an order; `(term, order_id)` is the fencing token."""
 
     order_id: int
     term: int
@@ -34,6 +34,6 @@
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The body of the platform's list."""
+    """Body of the platform's list of machines."""
 
     machines: list[ReplicaDescription]
--- a/src/crowsill/control/engine_jobs.py
+++ b/src/crowsill/control/engine_jobs.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from crowsill.backends.engine_calls import EngineCalls, EngineOrder, EngineReport, OrderAnswer
+from crowsill.backends.engine_calls import EngineCalls, EngineOrder, EngineReport, OrderResponse
 from crowsill.clock import monotonic_s
 from crowsill.control.engine_state import EngineState
 from crowsill.events import Event
@@ -81,7 +81,7 @@
     async def read_state(self, instance: Instance, engine: EngineState) -> None:
         """Read which models an engine holds and how many orders it has accepted."""
         report = await self._ports.calls.report(instance)
-        if report is None or report.is_busy or report.coming:
+        if report is None or report.is_busy or report.loading_adapters:
             engine.retry_at_s = monotonic_s() + BACKOFF_AFTER_FAILURE_S
             return
         engine.sequence = report.sequence
@@ -188,26 +188,26 @@
             order = EngineOrder(kind, model, adapter, engine.sequence, self._holder, self._term)
             response = await self._ports.calls.order(instance, order)
             self._log_response(instance, order, response)
-            if response is OrderAnswer.ACCEPTED:
+            if response is OrderResponse.ACCEPTED:
                 engine.sequence += 1
                 engine.is_fenced = True
                 return False
-            if response is OrderAnswer.ALREADY_SO:
+            if response is OrderResponse.ALREADY_DONE:
                 if kind is OrderKind.UNLOAD and not adapter and not has_lost_response:
                     raise JobFailedError(f"{model}: not loaded, so the recorded state is wrong")
                 # The engine unloads an unused adapter at once and counts the order.
                 if kind is OrderKind.UNLOAD and adapter:
                     engine.sequence += 1
                 return True
-            if response is OrderAnswer.OTHER_INSTANCE and not adapter:
+            if response is OrderResponse.OTHER_INSTANCE and not adapter:
                 # Another instance has the address, so this instance has stopped.
                 await self._ports.submit(RemoveInstance(instance.instance_id))
                 raise JobFailedError("the engine has stopped: another instance has its address")
-            if response is not OrderAnswer.UNKNOWN and response is not OrderAnswer.NOT_NOW:
+            if response is not OrderResponse.UNKNOWN and response is not OrderResponse.CONFLICT:
                 raise JobFailedError(f"{kind} {model} {adapter}: {response}")
-            has_lost_response = has_lost_response or response is OrderAnswer.UNKNOWN
+            has_lost_response = has_lost_response or response is OrderResponse.UNKNOWN
             await asyncio.sleep(ORDER_RETRY_INTERVAL_S)
-            if response is OrderAnswer.NOT_NOW and await self._was_accepted_earlier(
+            if response is OrderResponse.CONFLICT and await self._was_accepted_earlier(
                 instance, engine, order, has_lost_response
             ):
                 return False
@@ -256,7 +256,9 @@
                 return
         raise JobFailedError("another order is in progress")
 
-    def _log_response(self, instance: Instance, order: EngineOrder, response: OrderAnswer) -> None:
+    def _log_response(
+        self, instance: Instance, order: EngineOrder, response: OrderResponse
+    ) -> None:
         ORDERS.labels(order.kind, response).inc()
         log_event(
             Event.ORDER_ANSWERED,
@@ -329,7 +331,9 @@
     present = order.model in held
     if order.adapter:
         resource = resource_name(order.model, order.adapter)
-        present = present and (order.adapter in held[order.model] or resource in report.coming)
+        present = present and (
+            order.adapter in held[order.model] or resource in report.loading_adapters
+        )
     return present is (order.kind is OrderKind.LOAD)
 
 
--- a/src/crowsill/pipeline/dispatch.py
+++ b/src/crowsill/pipeline/dispatch.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure, Result, Success
 
-from crowsill.backends.interface import BackendAnswer, CallFailure, CallPort, RefusalReason
+from crowsill.backends.interface import BackendResponse, CallFailure, CallPort, FailureReason
 from crowsill.clock import monotonic_s
 from crowsill.errors import ErrorKind, Outcome, Problem
 from crowsill.events import Event
@@ -23,14 +23,14 @@
 MAX_ATTEMPTS = 4
 # A replica that rejects a request for one of these reasons works as expected, so the rejection
 # does not count as a failure for its circuit breaker.
-_HEALTHY_REJECTIONS = (RefusalReason.NOT_HERE, RefusalReason.LEAVING, RefusalReason.FULL)
+_HEALTHY_REJECTIONS = (FailureReason.NOT_LOADED, FailureReason.DRAINING, FailureReason.FULL)
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchedResponse:
     """A response whose head has been received, with the slot that it occupies."""
 
-    response: BackendAnswer
+    response: BackendResponse
     slot: Slot
 
 
@@ -91,10 +91,10 @@
             return Success(DispatchedResponse(sent.unwrap(), slot))
         failure = sent.failure()
         UPSTREAM_ATTEMPTS.labels(failure.reason).inc()
-        if failure.rest_s > 0.0:
+        if failure.backoff_s > 0.0:
             # Recorded before the slot is released; otherwise a waiting request would get the slot
             # during the backoff.
-            backoff_ends_at_s = monotonic_s() + failure.rest_s
+            backoff_ends_at_s = monotonic_s() + failure.backoff_s
             self._admission.selector.note_backoff(slot.selection.replica, backoff_ends_at_s)
         self._admission.release(slot, succeeded=failure.reason in _HEALTHY_REJECTIONS)
         return Failure(failure)
@@ -109,10 +109,10 @@
         state = slot.selection.replica
         replica_id = state.description.replica_id
         candidates = self._admission.candidates
-        if failure.reason is RefusalReason.NOT_HERE:
+        if failure.reason is FailureReason.NOT_LOADED:
             candidates.note_not_resident(replica_id, request.resource, monotonic_s())
             return excluded
-        if failure.reason is RefusalReason.LEAVING:
+        if failure.reason is FailureReason.DRAINING:
             candidates.note_draining(state)
             return excluded
         others = self._admission.replicas_for(request, excluded | {replica_id})
@@ -147,7 +147,7 @@
     if failure.outcome is Outcome.NOT_RUN:
         detail = f"the replica did not run it: {failure.reason}"
         return Problem(ErrorKind.BACKEND_REFUSED, detail)
-    if failure.reason is RefusalReason.TIMED_OUT:
+    if failure.reason is FailureReason.TIMED_OUT:
         return Problem(ErrorKind.DEADLINE_EXCEEDED, "no response before the deadline")
     return Problem(ErrorKind.BACKEND_FAILED, f"the replica failed: {failure.reason}")
 
--- a/src/crowsill/pipeline/relay.py
+++ b/src/crowsill/pipeline/relay.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Result, Success
 
-from crowsill.backends.interface import BackendAnswer, CallPort, TruncatedAnswerError
+from crowsill.backends.interface import BackendResponse, CallPort, TruncatedResponseError
 from crowsill.clock import monotonic_s
 from crowsill.errors import ErrorKind, Problem
 from crowsill.events import Event
@@ -49,7 +49,7 @@
                 body = await _read_all(response)
             succeeded = True
             return Success(CompleteResponse(response.status, response.content_type, body))
-        except TruncatedAnswerError as error:
+        except TruncatedResponseError as error:
             succeeded = False
             return Failure(Problem(ErrorKind.ANSWER_TRUNCATED, str(error)))
         except TimeoutError:
@@ -81,7 +81,7 @@
     async def _chunks(
         self,
         request: ClassifiedRequest,
-        response: BackendAnswer,
+        response: BackendResponse,
         slot: Slot,
         on_end: Callable[[bool], None],
     ) -> AsyncGenerator[bytes, None]:
@@ -96,7 +96,7 @@
                         yield chunk
                     succeeded = True
                     return
-                except TruncatedAnswerError as error:
+                except TruncatedResponseError as error:
                     response.close()
                     resumes += 1
                     continuation = await self._resume(request, slot, offset, resumes)
@@ -116,7 +116,7 @@
 
     async def _resume(
         self, request: ClassifiedRequest, slot: Slot, offset: int, resumes: int
-    ) -> BackendAnswer | None:
+    ) -> BackendResponse | None:
         if resumes > MAX_RESUMES:
             return None
         await asyncio.sleep(RESUME_DELAY_S)
@@ -133,18 +133,18 @@
             replica=replica.replica_id,
             offset=offset,
         )
-        continuation: BackendAnswer = resume_result.unwrap()
+        continuation: BackendResponse = resume_result.unwrap()
         return continuation
 
 
-async def _read_all(response: BackendAnswer) -> bytes:
+async def _read_all(response: BackendResponse) -> bytes:
     parts: list[bytes] = []
     size = 0
     while chunk := await response.read():
         parts.append(chunk)
         size += len(chunk)
         if size > MAX_COMPLETE_RESPONSE_BYTES:
-            raise TruncatedAnswerError(
+            raise TruncatedResponseError(
                 f"the response is larger than {MAX_COMPLETE_RESPONSE_BYTES} bytes"
             )
     return b"".join(parts)
--- a/src/crowsill/placement/core.py
+++ b/src/crowsill/placement/core.py
@@ -174,7 +174,7 @@
         if reply in (OrderReply.ACCEPTED, OrderReply.STALE):
             # Orders are sent one at a time, so a stale order was accepted before.
             self._sequencer.note_acknowledged(order)
-        elif reply is OrderReply.REFUSED:
+        elif reply is OrderReply.REJECTED:
             self._sequencer.note_rejected(order)
 
 
--- a/src/crowsill_lab/engine/server.py
+++ b/src/crowsill_lab/engine/server.py
@@ -10,12 +10,12 @@
 import msgspec
 from aiohttp import web
 
-from crowsill.backends.interface import RefusalReason
+from crowsill.backends.interface import FailureReason
 from crowsill.backends.wire import (
     CONTENT_TYPE_STREAM,
-    HEADER_PREFIX,
+    HEADER_NOT_RUN,
+    HEADER_PREFIX_HASH,
     HEADER_PRIORITY,
-    HEADER_REFUSAL,
     PATH_CACHE_EVENTS,
     PATH_KV,
     PATH_ORDERS,
@@ -146,15 +146,15 @@
         request_id = request.headers.get(HEADER_REQUEST_ID, secrets.token_hex(8))
         body = msgspec.json.decode(await request.read(), type=_CompletionBody)
         if self.core.leaving:
-            return _refusal(RefusalReason.LEAVING, request_id)
+            return _refusal(FailureReason.DRAINING, request_id)
         if body.model not in self.core.resident:
-            return _refusal(RefusalReason.NOT_HERE, request_id)
+            return _refusal(FailureReason.NOT_LOADED, request_id)
         self.core.counters.last_new_work_s = time.time()
         if self._random.random() < self.faults.fail_ratio:
             return web.Response(status=500, headers={HEADER_REQUEST_ID: request_id})
         prompt = body.prompt.encode() or bytes(body.messages)
         priority = int(request.headers.get(HEADER_PRIORITY, "10"))
-        prefix = int(request.headers.get(HEADER_PREFIX, "0"))
+        prefix = int(request.headers.get(HEADER_PREFIX_HASH, "0"))
         sequence = Sequence(request_id, body.model, prompt, prefix, body.max_tokens, priority)
         self.core.submit(sequence)
         if body.stream:
@@ -257,6 +257,6 @@
         return web.json_response({"at_s": time.time()})
 
 
-def _refusal(reason: RefusalReason, request_id: str) -> web.Response:
-    headers = {HEADER_REFUSAL: reason, HEADER_REQUEST_ID: request_id}
+def _refusal(reason: FailureReason, request_id: str) -> web.Response:
+    headers = {HEADER_NOT_RUN: reason, HEADER_REQUEST_ID: request_id}
     return web.Response(status=503, headers=headers)
--- a/src/crowsill_lab/service/server.py
+++ b/src/crowsill_lab/service/server.py
@@ -8,8 +8,8 @@
 import msgspec
 from aiohttp import web
 
-from crowsill.backends.interface import RefusalReason
-from crowsill.backends.wire import HEADER_REFUSAL, PATH_REPORT
+from crowsill.backends.interface import FailureReason
+from crowsill.backends.wire import HEADER_NOT_RUN, PATH_REPORT
 from crowsill.constants import HEADER_IDEMPOTENCY_KEY, HEADER_REQUEST_ID
 from crowsill.model.fleet import ReplicaReport
 from crowsill_lab.settings import ServiceShape
@@ -50,7 +50,7 @@
         """Run a call: count it, take some time, answer with what was run."""
         request_id = request.headers.get(HEADER_REQUEST_ID, "")
         if self._leaving:
-            headers = {HEADER_REFUSAL: RefusalReason.LEAVING, HEADER_REQUEST_ID: request_id}
+            headers = {HEADER_NOT_RUN: FailureReason.DRAINING, HEADER_REQUEST_ID: request_id}
             return web.Response(status=503, headers=headers)
         self._last_new_work_s = time.time()
         body = await request.read()
--- a/tests/test_busy_engines.py
+++ b/tests/test_busy_engines.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from crowsill.backends.engine_calls import EngineReport, OrderAnswer
+from crowsill.backends.engine_calls import EngineReport, OrderResponse
 from crowsill.control.engine_jobs import EngineJobPorts, EngineJobs
 from crowsill.control.engine_state import EngineState
 from crowsill.model.instances import Instance, LoadedModel, ReplicaHeartbeat
@@ -41,16 +41,16 @@
 
     def _answer(self, order):
         if self.busy_reports > 0 or order.expected_sequence != self.sequence:
-            return OrderAnswer.NOT_NOW
+            return OrderResponse.CONFLICT
         if (order.adapter in self.held) is (order.kind is OrderKind.LOAD):
-            return OrderAnswer.ALREADY_SO
+            return OrderResponse.ALREADY_DONE
         self.sequence += 1
         if order.kind is OrderKind.UNLOAD:
             self.busy_reports = 4
             self.held.discard(order.adapter)
         else:
             self.held.add(order.adapter)
-        return OrderAnswer.ACCEPTED
+        return OrderResponse.ACCEPTED
 
     async def report(self, instance):
         self.busy_reports = max(0, self.busy_reports - 1)
@@ -80,8 +80,8 @@
 
 
 def test_a_load_waits_for_the_previous_unload():
-    assert OrderAnswer.NOT_NOW not in exchange(BusyEngine())
+    assert OrderResponse.CONFLICT not in exchange(BusyEngine())
 
 
 def test_a_rejected_order_waits_until_the_other_one_is_done():
-    assert exchange(BusyEngine(busy_reports=6)).count(OrderAnswer.NOT_NOW) == 1
+    assert exchange(BusyEngine(busy_reports=6)).count(OrderResponse.CONFLICT) == 1
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowsill.backends.engine_calls import OrderAnswer
+from crowsill.backends.engine_calls import OrderResponse
 from crowsill.transport.connection import Connection
 from crowsill.transport.messages import Ping, Pong
 from tests.gateway_world import respond_ok, world
@@ -31,7 +31,7 @@
 @STEPS
 def test_a_placer_that_is_cancelled_as_it_is_woken_stops(steps):
     async def body():
-        placer = World(ScriptedEngines(OrderAnswer.ACCEPTED)).placer
+        placer = World(ScriptedEngines(OrderResponse.ACCEPTED)).placer
         task = asyncio.create_task(placer.run())
         return await stops_when_cancelled(task, placer._wake.set, steps)
 
--- a/tests/test_engine_signals.py
+++ b/tests/test_engine_signals.py
@@ -8,7 +8,7 @@
 import asyncio
 import sys
 
-from crowsill.backends.engine_calls import EngineOrder, OrderAnswer
+from crowsill.backends.engine_calls import EngineOrder, OrderResponse
 from crowsill.model.instances import Instance
 from crowsill.state.commands import OrderKind
 from tests.gateway_world import Replica, run
@@ -40,9 +40,9 @@
     async def scenario():
         engine, instance = await _engine(script_for("503 Busy", "Retry-After: 0.5"))
         calls = PlatformEngineCalls()
-        assert await calls.order(instance, ORDER) is OrderAnswer.RESTS
+        assert await calls.order(instance, ORDER) is OrderResponse.BACKING_OFF
         for _ in range(5):
-            assert await calls.order(instance, ORDER) is OrderAnswer.RESTS
+            assert await calls.order(instance, ORDER) is OrderResponse.BACKING_OFF
             assert await calls.report(instance) is None
         assert len(engine.requests) == 1
         await asyncio.sleep(0.55)
@@ -72,7 +72,7 @@
         reported = []
         calls = PlatformEngineCalls()
         calls.on_draining = reported.extend
-        assert await calls.order(instance, ORDER) is OrderAnswer.ACCEPTED
+        assert await calls.order(instance, ORDER) is OrderResponse.ACCEPTED
         await calls.report(instance)
         assert reported == ["a@1", "a@1"]
         await engine.stop()
@@ -84,8 +84,8 @@
     async def scenario():
         engine, instance = await _engine(script_for("503 Busy"))
         calls = PlatformEngineCalls()
-        assert await calls.order(instance, ORDER) is OrderAnswer.UNKNOWN
-        assert await calls.order(instance, ORDER) is OrderAnswer.UNKNOWN
+        assert await calls.order(instance, ORDER) is OrderResponse.UNKNOWN
+        assert await calls.order(instance, ORDER) is OrderResponse.UNKNOWN
         assert len(engine.requests) == 2
         await engine.stop()
 
--- a/tests/test_model_placer.py
+++ b/tests/test_model_placer.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from crowsill.backends.engine_calls import EngineReport, OrderAnswer
+from crowsill.backends.engine_calls import EngineReport, OrderResponse
 from crowsill.control.engine_jobs import EngineJobPorts
 from crowsill.control.model_placer import ModelPlacer, ModelPlacerPorts, WeightStoreLimits
 from crowsill.model.instances import Instance, LoadedModel, ReplicaHeartbeat
@@ -116,7 +116,7 @@
         world.placer.note_waiting({"s|m1": 1})
         await world.until(lambda: world.machine.directory.find("i-old") is None)
 
-    world = World(ScriptedEngines(OrderAnswer.OTHER_INSTANCE))
+    world = World(ScriptedEngines(OrderResponse.OTHER_INSTANCE))
     play(world, script)
     assert RemoveInstance("i-old") in world.submitted
     assert len(world.engines.orders) == 1
@@ -134,7 +134,7 @@
         assert world.engines.orders == [], "a third engine may register within a heartbeat"
         await asyncio.sleep(0.9)
 
-    world = World(ScriptedEngines(OrderAnswer.ACCEPTED), heartbeat_s=0.4)
+    world = World(ScriptedEngines(OrderResponse.ACCEPTED), heartbeat_s=0.4)
     play(world, script)
     # Free memory is filled with models that are likely to be requested; no model is unloaded.
     assert {kind for _, kind, _ in world.engines.orders} <= {"load"}
@@ -147,7 +147,9 @@
     class LateOrders(ScriptedEngines):
         async def order(self, instance, order):
             self.orders.append((order.expected_sequence, order.model))
-            return OrderAnswer.ACCEPTED if order.expected_sequence == 2 else OrderAnswer.NOT_NOW
+            return (
+                OrderResponse.ACCEPTED if order.expected_sequence == 2 else OrderResponse.CONFLICT
+            )
 
         async def report(self, instance):
             self.reports += 1
@@ -164,7 +166,7 @@
         world.placer.note_waiting({"s|m3": 1})
         await world.until(lambda: any(expected == 2 for expected, _ in world.engines.orders))
 
-    world = World(LateOrders(OrderAnswer.ACCEPTED))
+    world = World(LateOrders(OrderResponse.ACCEPTED))
     play(world, script)
     # There is no room for a fourth model: one of the three is unloaded first.
     assert next(model for expected, model in world.engines.orders if expected == 2) != "m3"
@@ -179,7 +181,7 @@
     LOAD_REPORTS = 6
 
     def __init__(self):
-        super().__init__(OrderAnswer.ACCEPTED)
+        super().__init__(OrderResponse.ACCEPTED)
         self.sequence = 2
         self.loaded = ["m0", "m1"]
         self.reports = 0
@@ -192,16 +194,16 @@
     async def order(self, instance, order):
         self.orders.append((order.kind.value, order.model))
         if self.is_busy or order.expected_sequence != self.sequence:
-            return OrderAnswer.NOT_NOW
+            return OrderResponse.CONFLICT
         if order.kind is OrderKind.UNLOAD and order.model not in self.loaded:
-            return OrderAnswer.ALREADY_SO
+            return OrderResponse.ALREADY_DONE
         self.sequence += 1
         if order.kind is OrderKind.UNLOAD:
             self.loaded.remove(order.model)
         else:
             self.loaded.append(order.model)
             self.is_overfilled = self.is_overfilled or len(self.loaded) > 3
-        return OrderAnswer.ACCEPTED
+        return OrderResponse.ACCEPTED
 
     async def report(self, instance):
         self.reports += 1
@@ -248,7 +250,7 @@
         return world.placer._engines["i-1"]
 
     with_adapters = [ModelWeights("m0", 70.0, 9.0, 0.8, 2.0, 3, 1.0)]
-    world = World(Slow(OrderAnswer.ACCEPTED))
+    world = World(Slow(OrderResponse.ACCEPTED))
     limits = EngineLimits(220.0, 4, 8, 1000, 1.4, with_adapters)
     world.routes = RouteConfiguration(1, [], [ServiceDefinition("s", 100, limits)], CallerLimits())
     play(world, script)
@@ -257,7 +259,7 @@
 def test_next_leader_continues_counting_requests_for_missing_models():
     # If each leader starts to count the requests for missing models from zero, rarely used models
     # are never loaded while leaders change often.
-    before = World(ScriptedEngines(OrderAnswer.ACCEPTED))
+    before = World(ScriptedEngines(OrderResponse.ACCEPTED))
     before.engines.reports_busy = True
     before.register("i-1", 1, "m0", "m1", "m2")
 
@@ -267,7 +269,7 @@
 
     play(before, demand_for_long)
     assert before.engines.orders == []
-    after = World(ScriptedEngines(OrderAnswer.ACCEPTED), machine=before.machine)
+    after = World(ScriptedEngines(OrderResponse.ACCEPTED), machine=before.machine)
 
     async def demand_briefly(world):
         world.demand = {"s|m0": 4, "s|m1": 4, "s|m2": 4, "s|m3": 1}
@@ -287,11 +289,11 @@
         world.placer.note_waiting({"s|m0": 1})
         await world.until(lambda: world.engines.orders)
 
-    world = World(ScriptedEngines(OrderAnswer.ACCEPTED))
+    world = World(ScriptedEngines(OrderResponse.ACCEPTED))
     world.limits.update({"i-1": 1.0})
     play(world, script)
     assert {instance_id for instance_id, _, _ in world.engines.orders} == {"i-2"}
-    world = World(ScriptedEngines(OrderAnswer.ACCEPTED))
+    world = World(ScriptedEngines(OrderResponse.ACCEPTED))
     world.limits.update({"i-1": 1.0, "i-2": 1.0})
     play(world, script)
     assert world.engines.orders[0] == ("i-1", "load", "m0")
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -8,7 +8,7 @@
 from hypothesis import given, strategies
 from returns.result import Failure, Result, Success
 
-from crowsill.backends.interface import CallFailure, RefusalReason, TruncatedAnswerError
+from crowsill.backends.interface import CallFailure, FailureReason, TruncatedResponseError
 from crowsill.errors import ErrorKind, Outcome, Problem
 from crowsill.model.configuration import (
     Configuration,
@@ -36,9 +36,9 @@
 
 TOKEN = "secret"
 NO_LIMITS = TenantLimits()
-NOT_RUN = CallFailure(Outcome.NOT_RUN, RefusalReason.UNREACHABLE)
-FULL = CallFailure(Outcome.NOT_RUN, RefusalReason.FULL)
-BROKEN = CallFailure(Outcome.UNKNOWN, RefusalReason.BROKEN)
+NOT_RUN = CallFailure(Outcome.NOT_RUN, FailureReason.UNREACHABLE)
+FULL = CallFailure(Outcome.NOT_RUN, FailureReason.FULL)
+BROKEN = CallFailure(Outcome.UNKNOWN, FailureReason.CONNECTION_LOST)
 
 
 def configuration(limits=NO_LIMITS):
@@ -242,7 +242,7 @@
 
 
 def test_a_truncated_whole_answer_is_an_error():
-    calls = ScriptedCalls([b"half", TruncatedAnswerError("cut")])
+    calls = ScriptedCalls([b"half", TruncatedResponseError("cut")])
     result = asyncio.run(pipeline_with(calls).serve(incoming()))
     assert kind_of(result) is ErrorKind.ANSWER_TRUNCATED
 
@@ -252,7 +252,7 @@
 
 
 def test_a_broken_stream_is_resumed_at_its_offset():
-    calls = ScriptedCalls([b"abc", TruncatedAnswerError("cut")], resumes=[[b"def"]])
+    calls = ScriptedCalls([b"abc", TruncatedResponseError("cut")], resumes=[[b"def"]])
 
     async def scenario():
         pipeline = pipeline_with(calls)
@@ -265,7 +265,7 @@
 
 
 def test_a_stream_that_cannot_be_resumed_never_ends_cleanly():
-    calls = ScriptedCalls([b"abc", TruncatedAnswerError("cut")])
+    calls = ScriptedCalls([b"abc", TruncatedResponseError("cut")])
 
     async def scenario():
         stream = incoming(body=b'{"model":"m","prompt":"x","stream":true}')
@@ -383,7 +383,7 @@
 
 def test_a_back_end_that_asked_for_rest_gets_it_and_callers_are_told_how_long():
     """A refusal that came with a rest freed its slot, and what waited took it at once."""
-    rests = CallFailure(Outcome.NOT_RUN, RefusalReason.FULL, rest_s=30.0)
+    rests = CallFailure(Outcome.NOT_RUN, FailureReason.FULL, backoff_s=30.0)
 
     async def body():
         calls = ScriptedCalls(rests, [b"ok"], [b"ok"], [b"ok"])
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from crowsill.backends.engine_calls import EngineOrder, OrderAnswer
+from crowsill.backends.engine_calls import EngineOrder, OrderResponse
 from crowsill.model.instances import Instance
 from crowsill.state.commands import OrderKind
 from crowsill_lab.relay import SilencingRelay
@@ -133,8 +133,8 @@
         order = EngineOrder(OrderKind.LOAD, "m0", "", 0, "n", 1)
         answers = [await calls.order(instance, order) for _ in range(4)]
         # Only a report on a new connection shows whether the first attempts arrived.
-        assert answers[0] is OrderAnswer.UNKNOWN
-        assert answers[-1] in (OrderAnswer.ACCEPTED, OrderAnswer.NOT_NOW)
+        assert answers[0] is OrderResponse.UNKNOWN
+        assert answers[-1] in (OrderResponse.ACCEPTED, OrderResponse.CONFLICT)
         assert (await calls.report(instance)).sequence == engine.accepted == 1
         relay.close()
         engine.stop()
