--- a/src/crowsill/pipeline/deduplicate.py
+++ b/src/crowsill/pipeline/deduplicate.py
@@ -74,7 +74,9 @@
 class ClaimSubmitter(Protocol):
     """Submits commands to the control members."""
 
-    async def submit(self, request: SubmitCommand, deadline_s: float) -> Result[Submitted, Problem]:
+    async def submit(
+        self, request: SubmitCommand, deadline_at_s: float
+    ) -> Result[Submitted, Problem]:
         """Submit a command and wait until it is committed."""
 
 
@@ -124,8 +126,8 @@
         key = ClaimKey(request.tenant, request.resource, request.idempotency_key or "")
         attempt = uuid.uuid4().hex
         command = OpenClaim(key, _fingerprint(request), attempt, self._holder, 0.0)
-        deadline_s = min(request.deadline_at_s, monotonic_s() + CLAIM_TIMEOUT_S)
-        reply = await self._submitter.submit(SubmitCommand(command), deadline_s)
+        deadline_at_s = min(request.deadline_at_s, monotonic_s() + CLAIM_TIMEOUT_S)
+        reply = await self._submitter.submit(SubmitCommand(command), deadline_at_s)
         if not isinstance(reply, Success):
             # The claim may have been committed nevertheless. Release it as soon as possible;
             # otherwise every later resend would be rejected as in progress.
@@ -167,7 +169,7 @@
         task.add_done_callback(self._settlement_tasks.discard)
 
     async def _settle(self, command: SettleClaim) -> None:
-        deadline_s = monotonic_s() + SETTLE_TIMEOUT_S
-        reply = await self._submitter.submit(SubmitCommand(command), deadline_s)
+        deadline_at_s = monotonic_s() + SETTLE_TIMEOUT_S
+        reply = await self._submitter.submit(SubmitCommand(command), deadline_at_s)
         if not isinstance(reply, Success):
             log_event(Event.CLAIM_ABANDONED, key=command.key.key, attempt=command.attempt)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on plain processes for tests."""
+"""A small deployment of local processes for tests."""
 
 from crowsill_lab.settings import (
     EngineShape,
@@ -47,7 +47,7 @@
 
 
 def small_deployment(entries=2, control_members=3):
-    """Two engines, two tills, one site."""
+    """Return a deployment of one zone with two engines and two replicas of the service `till`."""
     traffic = [
         TrafficShape("till", "shop", 30.0, 500, service="till", path="/pay", unsafe=True),
         TrafficShape("models", "shop", 20.0, 5000, models=MODELS, tokens=10),
--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -1,4 +1,4 @@
-"""The callers' listener on a real connection: broken streams and callers that leave."""
+"""The callers' listener on real connections: broken streams and callers that disconnect."""
 
 import asyncio
 
@@ -13,20 +13,20 @@
 
 
 class StreamingPipeline:
-    """Answers every request with one stream."""
+    """Serves every request with one stream."""
 
     table = None
 
-    def __init__(self, fails):
-        self.fails = fails
+    def __init__(self, breaks_stream):
+        self.breaks_stream = breaks_stream
         self.closed = asyncio.Event()
         self.cancelled = asyncio.Event()
         self.started = asyncio.Event()
-        self.hangs = False
+        self.never_responds = False
 
     async def serve(self, incoming):
         self.started.set()
-        if self.hangs:
+        if self.never_responds:
             try:
                 await asyncio.Event().wait()
             finally:
@@ -36,7 +36,7 @@
     async def chunks(self):
         try:
             yield b"first"
-            if self.fails:
+            if self.breaks_stream:
                 raise RuntimeError("broken")
             while True:
                 await asyncio.sleep(0.001)
@@ -45,7 +45,7 @@
             self.closed.set()
 
 
-async def serving(pipeline):
+async def start_server(pipeline):
     application = caller_application(pipeline, lambda: True, 1000)
     server = HttpServer(application, HttpListener("127.0.0.1", 0))
     await server.start()
@@ -54,7 +54,7 @@
 
 def test_a_broken_stream_does_not_end_cleanly():
     async def scenario():
-        server, url = await serving(StreamingPipeline(fails=True))
+        server, url = await start_server(StreamingPipeline(breaks_stream=True))
         async with aiohttp.ClientSession() as session, session.post(url, data=b"{}") as response:
             with pytest.raises(aiohttp.ClientPayloadError):
                 await response.read()
@@ -63,10 +63,10 @@
     asyncio.run(scenario())
 
 
-def test_the_stream_of_a_caller_that_left_is_closed():
+def test_the_stream_of_a_caller_that_disconnected_is_closed():
     async def scenario():
-        pipeline = StreamingPipeline(fails=False)
-        server, url = await serving(pipeline)
+        pipeline = StreamingPipeline(breaks_stream=False)
+        server, url = await start_server(pipeline)
         async with aiohttp.ClientSession() as session:
             response = await session.post(url, data=b"{}")
             await response.content.readany()
@@ -77,11 +77,11 @@
     asyncio.run(scenario())
 
 
-def test_a_waiting_request_of_a_caller_that_left_is_cancelled():
+def test_a_waiting_request_of_a_caller_that_disconnected_is_cancelled():
     async def scenario():
-        pipeline = StreamingPipeline(fails=False)
-        pipeline.hangs = True
-        server, url = await serving(pipeline)
+        pipeline = StreamingPipeline(breaks_stream=False)
+        pipeline.never_responds = True
+        server, url = await start_server(pipeline)
         async with aiohttp.ClientSession() as session:
             task = asyncio.create_task(session.post(url, data=b"{}"))
             await pipeline.started.wait()
@@ -99,10 +99,10 @@
         b"Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n",
     ],
 )
-def test_a_request_whose_body_is_cut_off_is_never_served(request_start):
+def test_a_request_with_an_incomplete_body_is_never_served(request_start):
     async def scenario():
-        pipeline = StreamingPipeline(fails=False)
-        server, url = await serving(pipeline)
+        pipeline = StreamingPipeline(breaks_stream=False)
+        server, url = await start_server(pipeline)
         port = int(url.split(":")[2].split("/")[0])
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n" + request_start)
@@ -117,17 +117,17 @@
     assert not asyncio.run(scenario())
 
 
-def test_a_body_that_is_too_large_is_refused():
+def test_a_too_large_body_and_an_unknown_path_are_rejected():
     async def scenario():
-        server, url = await serving(StreamingPipeline(fails=False))
+        server, url = await start_server(StreamingPipeline(breaks_stream=False))
         async with aiohttp.ClientSession() as session:
             async with session.post(url, data=b"x" * 2000) as response:
-                answer = response.status, (await response.json())["kind"]
+                too_large = response.status, (await response.json())["kind"]
             async with session.get(f"{url}/unknown") as response:
                 unknown = response.status, (await response.json())["kind"]
         await server.stop()
-        return answer, unknown
+        return too_large, unknown
 
-    answer, unknown = asyncio.run(scenario())
-    assert answer == (413, "body_too_large")
+    too_large, unknown = asyncio.run(scenario())
+    assert too_large == (413, "body_too_large")
     assert unknown == (404, "invalid_request")
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -1,4 +1,4 @@
-"""The request path with a scripted back end."""
+"""The pipeline of an entry with scripted back ends."""
 
 import asyncio
 import hashlib
@@ -56,8 +56,8 @@
     return Configuration(1, {"t": template}, {"tenant": tenant})
 
 
-class ScriptedAnswer:
-    """Yields its chunks; an exception among them is raised."""
+class ScriptedResponse:
+    """A response that returns the given chunks; an exception among them is raised."""
 
     status = 200
     content_type = "text/plain"
@@ -76,7 +76,7 @@
 
 
 class ScriptedCalls:
-    """Answers calls from a list of failures and chunk lists."""
+    """Responds to calls with the given failures and lists of chunks, in order."""
 
     def __init__(self, *script, resumes=()):
         self.script = list(script)
@@ -90,26 +90,26 @@
         step = self.script.pop(0)
         if isinstance(step, CallFailure):
             return Failure(step)
-        return Success(ScriptedAnswer(step))
+        return Success(ScriptedResponse(step))
 
     async def resume(self, replica_description, request_id, offset, timeout_s):
         self.offsets.append(offset)
-        return Success(ScriptedAnswer(self.resumes.pop(0))) if self.resumes else Failure(BROKEN)
+        return Success(ScriptedResponse(self.resumes.pop(0))) if self.resumes else Failure(BROKEN)
 
     async def cancel(self, replica_description, request_id):
         self.cancelled.append(request_id)
 
 
 class LocalSubmitter:
-    """Applies commands to a machine at once; may be cut off."""
+    """Applies commands to a state machine at once; fails while it is disconnected."""
 
     def __init__(self):
         self.machine = StateMachine()
-        self.cut = False
+        self.disconnected = False
 
-    async def submit(self, request, deadline_s) -> Result[Submitted, Problem]:
-        if self.cut:
-            return Failure(Problem(ErrorKind.NO_LEADER, "cut"))
+    async def submit(self, request, deadline_at_s) -> Result[Submitted, Problem]:
+        if self.disconnected:
+            return Failure(Problem(ErrorKind.NO_LEADER, "disconnected"))
         return Success(Submitted(self.machine.apply(request.command)))
 
 
@@ -152,7 +152,7 @@
     return result.failure().kind
 
 
-def test_a_safe_request_goes_on_to_another_replica():
+def test_a_safe_request_is_retried_at_another_replica():
     calls = ScriptedCalls(BROKEN, [b"whole"])
     result = asyncio.run(pipeline_with(calls).serve(incoming()))
     assert result.unwrap().body == b"whole"
@@ -175,7 +175,7 @@
     assert len(calls.sent) == 1
 
 
-def test_an_unsafe_request_that_was_not_run_goes_on_and_is_replayed_to_a_resend():
+def test_an_unsafe_request_that_was_not_run_is_retried_and_its_response_is_replayed():
     calls = ScriptedCalls(NOT_RUN, [b"paid"])
     submitter = LocalSubmitter()
 
@@ -185,15 +185,15 @@
         other_entry = pipeline_with(calls, submitter)
         return first, await other_entry.serve(pay()), await other_entry.serve(pay(body=b"2"))
 
-    first, resend, other_body = asyncio.run(scenario())
+    first, resend, conflicting = asyncio.run(scenario())
     assert first.unwrap().body == resend.unwrap().body == b"paid"
     assert resend.unwrap().replayed and not first.unwrap().replayed
-    assert kind_of(other_body) is ErrorKind.KEY_CONFLICT
+    assert kind_of(conflicting) is ErrorKind.KEY_CONFLICT
     assert len(calls.sent) == 2
 
 
-def test_not_run_is_only_said_when_no_try_may_have_run():
-    # The first try may have run; the refusals after it do not make the request "not run".
+def test_the_outcome_is_not_run_only_if_no_attempt_may_have_run():
+    # The first attempt may have run, so rejections of later attempts don't make it `not_run`.
     calls = ScriptedCalls(BROKEN, FULL, FULL, FULL)
     result = asyncio.run(pipeline_with(calls).serve(incoming()))
     assert result.failure().answer.outcome is Outcome.UNKNOWN
@@ -202,7 +202,7 @@
     assert result.failure().answer.outcome is Outcome.NOT_RUN
 
 
-def test_a_refused_unsafe_request_may_be_sent_again():
+def test_a_rejected_unsafe_request_may_be_sent_again():
     calls = ScriptedCalls(*[FULL] * 4, [b"paid"])
     submitter = LocalSubmitter()
 
@@ -217,7 +217,7 @@
     assert second.unwrap().body == b"paid"
 
 
-def test_a_key_older_than_the_memory_of_keys_is_refused():
+def test_a_key_older_than_the_retention_of_claims_is_rejected():
     old = "0190163d-8694-739b-aea5-966c26f8ad91"
     calls = ScriptedCalls()
     result = asyncio.run(pipeline_with(calls).serve(pay(key=old)))
@@ -225,9 +225,9 @@
     assert result.failure().answer.outcome is Outcome.UNKNOWN and calls.sent == []
 
 
-def test_without_a_majority_unsafe_requests_are_refused_and_safe_ones_go_on():
+def test_without_a_majority_unsafe_requests_are_rejected_and_safe_ones_are_served():
     submitter = LocalSubmitter()
-    submitter.cut = True
+    submitter.disconnected = True
     calls = ScriptedCalls([b"safe"])
 
     async def scenario():
@@ -236,12 +236,12 @@
 
     unsafe, safe = asyncio.run(scenario())
     assert kind_of(unsafe) is ErrorKind.CLAIMS_UNAVAILABLE
-    # An earlier attempt with the key may have run, so nobody may say "not run".
+    # An earlier attempt with the key may have run, so the outcome must not be `not_run`.
     assert unsafe.failure().answer.outcome is Outcome.UNKNOWN
     assert safe.unwrap().body == b"safe" and len(calls.sent) == 1
 
 
-def test_a_truncated_whole_answer_is_an_error():
+def test_a_truncated_response_is_an_error():
     calls = ScriptedCalls([b"half", TruncatedAnswerError("cut")])
     result = asyncio.run(pipeline_with(calls).serve(incoming()))
     assert kind_of(result) is ErrorKind.ANSWER_TRUNCATED
@@ -275,7 +275,7 @@
         asyncio.run(scenario())
 
 
-def test_a_caller_that_leaves_a_stream_frees_the_slot_and_cancels_upstream():
+def test_a_disconnect_during_a_stream_frees_the_slot_and_cancels_upstream():
     calls = ScriptedCalls([b"abc", b"def"])
 
     async def scenario():
@@ -291,7 +291,7 @@
     assert calls.cancelled == ["r"]
 
 
-def test_a_tenant_is_held_to_its_rate():
+def test_the_rate_limit_of_a_tenant_is_applied():
     calls = ScriptedCalls([b"one"])
     limits = TenantLimits(requests_per_s=0.001, burst=1)
 
@@ -312,7 +312,7 @@
     assert kind_of(asyncio.run(pipeline.serve(incoming()))) is ErrorKind.NOT_READY
 
 
-BAD_REQUESTS = [
+INVALID_REQUESTS = [
     ({"authorization": ""}, ErrorKind.UNAUTHENTICATED),
     ({"authorization": "Bearer wrong"}, ErrorKind.UNAUTHENTICATED),
     ({"authorization": "Basic secret"}, ErrorKind.UNAUTHENTICATED),
@@ -336,8 +336,8 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "kind"), BAD_REQUESTS)
-def test_bad_requests_get_their_error(changes, kind):
+@pytest.mark.parametrize(("changes", "kind"), INVALID_REQUESTS)
+def test_invalid_requests_get_the_matching_error(changes, kind):
     result = asyncio.run(pipeline_with(ScriptedCalls()).serve(incoming(**changes)))
     assert kind_of(result) is kind
 
@@ -348,54 +348,57 @@
     strategies.text(max_size=12),
     strategies.text(max_size=30),
 )
-def test_no_input_makes_the_parsers_fail_unexpectedly(body, deadline, urgency, path):
+def test_classification_of_any_input_returns_a_result(body, deadline, urgency, path):
     routes = RoutingTable(configuration()).tenants["tenant"]
     for target in ("/v1/completions", "/services/" + path):
         given_request = incoming(body=body, deadline_ms=deadline, urgency=urgency, path=target)
         assert isinstance(classify(given_request, routes, 0.0), Success | Failure)
 
 
-def test_waiting_requests_get_freed_slots_and_late_ones_are_refused():
+def test_waiting_requests_get_freed_slots_and_expired_ones_are_rejected():
     calls = ScriptedCalls([b"one"], [b"two"])
 
     async def scenario():
         pipeline = pipeline_with(calls, replicas=("a",), slots=1)
         admission = pipeline._filters.admission
         routes = pipeline.table.tenants["tenant"]
-        held_request = classify(incoming(), routes, 0.0).unwrap()
-        held_request.deadline_at_s = float("inf")
-        held = (await admission.admit(held_request, routes, frozenset())).unwrap()
+        occupying_request = classify(incoming(), routes, 0.0).unwrap()
+        occupying_request.deadline_at_s = float("inf")
+        occupied_slot = (await admission.admit(occupying_request, routes, frozenset())).unwrap()
         waiting = asyncio.create_task(pipeline.serve(incoming()))
-        late = asyncio.create_task(pipeline.serve(incoming(deadline_ms="1")))
+        expiring = asyncio.create_task(pipeline.serve(incoming(deadline_ms="1")))
         while admission._queues.count(Urgency.PATIENT) < 2:
             await asyncio.sleep(0)
         await asyncio.sleep(0.002)
         admission.reject_expired()
-        refused = await late
-        admission.release(held, succeeded=True)
-        return await waiting, refused
+        rejected = await expiring
+        admission.release(occupied_slot, succeeded=True)
+        return await waiting, rejected
 
-    answered, refused = asyncio.run(scenario())
-    assert answered.unwrap().body == b"one"
-    assert kind_of(refused) is ErrorKind.OVERLOADED
-    assert refused.failure().answer.outcome is Outcome.NOT_RUN
+    served, rejected = asyncio.run(scenario())
+    assert served.unwrap().body == b"one"
+    assert kind_of(rejected) is ErrorKind.OVERLOADED
+    assert rejected.failure().answer.outcome is Outcome.NOT_RUN
 
 
-def test_a_back_end_that_asked_for_rest_gets_it_and_callers_are_told_how_long():
-    """A refusal that came with a rest freed its slot, and what waited took it at once."""
-    rests = CallFailure(Outcome.NOT_RUN, RefusalReason.FULL, rest_s=30.0)
+def test_a_backing_off_replica_gets_no_requests_and_retry_after_covers_the_backoff():
+    """A slot must not be granted again after a rejection that asked for a backoff.
 
-    async def body():
-        calls = ScriptedCalls(rests, [b"ok"], [b"ok"], [b"ok"])
+    If the slot is released before the backoff is recorded, a waiting request gets it at once.
+    """
+    backing_off = CallFailure(Outcome.NOT_RUN, RefusalReason.FULL, rest_s=30.0)
+
+    async def scenario():
+        calls = ScriptedCalls(backing_off, [b"ok"], [b"ok"], [b"ok"])
         pipeline = pipeline_with(calls)
         for _ in range(3):
             assert isinstance(await pipeline.serve(incoming()), Success)
         assert len(calls.sent) == 4 and len(set(calls.sent[1:])) == 1
         assert calls.sent[0] not in calls.sent[1:]
-        alone = ScriptedCalls(rests)
+        alone = ScriptedCalls(backing_off)
         pipeline = pipeline_with(alone, replicas=("a",))
         problem = (await pipeline.serve(incoming(deadline_ms="5000"))).failure()
         assert problem.kind is ErrorKind.OVERLOADED and problem.answer.retry_after_s >= 30
         assert alone.sent == ["a"]
 
-    asyncio.run(body())
+    asyncio.run(scenario())
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole system on plain processes: callers, operators, kills and planned stops."""
+"""A complete deployment of local processes: callers, operators, kills and planned stops."""
 
 import asyncio
 import hashlib
@@ -18,7 +18,7 @@
 HEADERS = {"Authorization": "Bearer shop-token"}
 
 
-def crowsill(site, *arguments):
+def run_cli(site, *arguments):
     command = [sys.executable, "-m", "crowsill.cli.main", *arguments]
     command += ["--settings", str(site.operator_settings)]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
@@ -35,7 +35,7 @@
     running = Site(small_deployment(), folder / "run")
     try:
         running.start()
-        applied = crowsill(running, "apply", str(files))
+        applied = run_cli(running, "apply", str(files))
         assert applied.returncode == 0, applied.stderr
         asyncio.run(wait_until_served(running))
         yield running
@@ -44,7 +44,7 @@
 
 
 async def wait_until_served(site):
-    """Wait until each entry answers for each model."""
+    """Wait until each entry serves each model."""
     deadline_s = asyncio.get_running_loop().time() + WAIT_S
     async with aiohttp.ClientSession(headers=HEADERS) as session:
         for entry in site.entries.values():
@@ -75,7 +75,7 @@
     return asyncio.run(run())
 
 
-def test_a_stream_arrives_whole(site):
+def test_a_stream_arrives_complete(site):
     entry = next(iter(site.entries.values()))
     status, body = with_session(lambda session: complete(session, entry, "alpha", stream=True))
     assert status == 200
@@ -97,40 +97,40 @@
     assert other[0] == 422 and other[1]["kind"] == "key_conflict"
 
 
-def test_operators_see_and_race(site, tmp_path):
-    shown = crowsill(site, "status").stdout
-    assert "revision 1, confirmed" in shown or "revision 1, as this member" in shown
-    assert "entry-1" in shown and "leader" in shown
+def test_operators_see_the_status_and_concurrent_changes_conflict(site, tmp_path):
+    status_output = run_cli(site, "status").stdout
+    assert "revision 1, confirmed" in status_output or "revision 1, as this member" in status_output
+    assert "entry-1" in status_output and "leader" in status_output
     template = tmp_path / "template.toml"
     template.write_text(CONFIGURATION.replace("target_ms = 500", "target_ms = 600"))
-    planned = crowsill(site, "plan", str(template))
+    planned = run_cli(site, "plan", str(template))
     assert "~ template small.classes" in planned.stdout
-    applied = crowsill(site, "apply", str(template), "--base", "1", "--change-id", "one")
+    applied = run_cli(site, "apply", str(template), "--base", "1", "--change-id", "one")
     assert "accepted: revision 2" in applied.stdout
     template.write_text(CONFIGURATION.replace("target_ms = 500", "target_ms = 700"))
-    lost = crowsill(site, "apply", str(template), "--base", "1", "--change-id", "two")
-    assert lost.returncode == 1 and "'one' by demo came first" in lost.stderr
-    back = crowsill(site, "rollback", "1")
-    assert "revision 3" in back.stdout
-    assert '"target_ms": 600' in crowsill(site, "show", "--revision", "2").stdout
-    assert '"target_ms": 500' in crowsill(site, "show").stdout
-    assert "serving" in crowsill(site, "explain", "alpha").stdout
-    listed = crowsill(site, "members", "list")
+    conflicting = run_cli(site, "apply", str(template), "--base", "1", "--change-id", "two")
+    assert conflicting.returncode == 1 and "'one' by demo came first" in conflicting.stderr
+    rolled_back = run_cli(site, "rollback", "1")
+    assert "revision 3" in rolled_back.stdout
+    assert '"target_ms": 600' in run_cli(site, "show", "--revision", "2").stdout
+    assert '"target_ms": 500' in run_cli(site, "show").stdout
+    assert "serving" in run_cli(site, "explain", "alpha").stdout
+    listed = run_cli(site, "members", "list")
     assert listed.returncode == 0 and "the group is whole" in listed.stdout
-    refused = crowsill(site, "members", "remove", leader_name(site))
-    assert refused.returncode == 1 and "cannot remove itself" in refused.stderr
+    rejected = run_cli(site, "members", "remove", leader_name(site))
+    assert rejected.returncode == 1 and "cannot remove itself" in rejected.stderr
 
 
-def test_faulty_files_are_named(site, tmp_path):
+def test_errors_in_files_are_reported_with_their_place(site, tmp_path):
     bad = tmp_path / "bad.toml"
     bad.write_text('kind = "template"\nname = "x"\nclasses = 3\n')
-    found = crowsill(site, "plan", str(bad))
+    found = run_cli(site, "plan", str(bad))
     assert found.returncode == 1 and "bad.toml" in found.stderr and "$.classes" in found.stderr
     bad.write_text("kind = \nname = 3\n")
-    assert "line 1" in crowsill(site, "plan", str(bad)).stderr
+    assert "line 1" in run_cli(site, "plan", str(bad)).stderr
 
 
-def test_promises_hold_under_a_leader_kill_and_planned_stops(site):
+def test_guarantees_hold_when_the_leader_is_killed_and_an_entry_stops(site):
     async def work():
         balancer = Balancer(list(site.entries.values()))
         prober = asyncio.create_task(balancer.run())
@@ -156,7 +156,7 @@
     for tally in result.tallies.values():
         assert tally.foreign == tally.truncated == tally.broken == tally.unreachable == 0
         assert tally.answered > 0
-    members = crowsill(site, "status").stdout
+    members = run_cli(site, "status").stdout
     assert "leader" in members
 
 
@@ -166,7 +166,7 @@
 
 
 def leader_name(site):
-    for line in crowsill(site, "status").stdout.splitlines():
+    for line in run_cli(site, "status").stdout.splitlines():
         if line.endswith("leader"):
             return line.split()[0]
     raise AssertionError("no leader")
