--- a/src/crowsill/backends/interface.py
+++ b/src/crowsill/backends/interface.py
@@ -153,7 +153,7 @@
 
     Attributes:
         ACCEPTED: The engine executes the order.
-        STALE: The fencing token is not newer than that of the last accepted order.
+        STALE: The fencing token is older than that of the last accepted order.
         OTHER_INCARNATION: The order is for another incarnation of the engine.
         REJECTED: The engine has too little memory for the order.
         UNKNOWN: No conclusive reply arrived; the engine may still execute the order.
