--- a/src/crowsill/control/announcer.py
+++ b/src/crowsill/control/announcer.py
@@ -162,6 +162,6 @@
     contacts: GroupContacts, connection: Connection, referral: GroupReferral
 ) -> Pong:
     """Adopt the group's addresses from a process that claims to be the leader."""
-    if contacts.refer([parse_address(member) for member in referral.members]):
+    if contacts.add_referrals([parse_address(member) for member in referral.members]):
         log_event(Event.GROUP_TOLD, teller=connection.peer.node, members=",".join(referral.members))
     return Pong()
--- a/src/crowsill/control/joining.py
+++ b/src/crowsill/control/joining.py
@@ -64,19 +64,19 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S * (0.5 + self._random.random()))
             if self._is_attached():
-                self._contacts.found()
+                self._contacts.note_found()
                 continue
             for target in self._targets():
                 if await self._request_join(target):
                     break
             else:
-                self._contacts.missed(monotonic_s())
+                self._contacts.note_not_found(monotonic_s())
 
     async def _request_join(self, target: Address) -> bool:
         request = JoinRequest(self._local.identity, self._own.host, self._own.port)
         _, reply = await query_leader(target, request, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
-            self._contacts.refer([parse_address(member) for member in reply.members])
+            self._contacts.add_referrals([parse_address(member) for member in reply.members])
         if not isinstance(reply, JoinReply) or not reply.accepted:
             return False
         log_event(Event.JOIN_ASKED, accepted=True, identity=self._local.identity)
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -70,10 +70,10 @@
             known = self.leader
             self.leader = await self._find()
             if self.leader is None:
-                self.contacts.missed(monotonic_s())
+                self.contacts.note_not_found(monotonic_s())
                 await self._wait_for_referral(SEARCH_INTERVAL_S)
                 continue
-            self.contacts.found()
+            self.contacts.note_found()
             if self.leader != known:
                 log_event(Event.LEADER_FOUND, leader=format_address(self.leader))
             # A new leader announces itself at once, so callers aren't redirected to the former
@@ -104,10 +104,10 @@
         question = FindGroup(format_address(self._own))
         leader, reply = await query_leader(target, question, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
-            self.contacts.refer([parse_address(member) for member in reply.members])
+            self.contacts.add_referrals([parse_address(member) for member in reply.members])
         if not isinstance(reply, GroupReferral):
             return None
-        self.contacts.learn([parse_address(member) for member in reply.members])
+        self.contacts.set_members([parse_address(member) for member in reply.members])
         return leader
 
 
@@ -191,7 +191,9 @@
             locator.note_referral()
             return acknowledgement
         leader = None if locator.leader is None else format_address(locator.leader)
-        return NotLeader(leader, [format_address(item) for item in locator.contacts.known()])
+        return NotLeader(
+            leader, [format_address(item) for item in locator.contacts.known_addresses()]
+        )
 
     async def drain(self) -> None:
         """Do nothing: this process has no state to hand over."""
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -261,7 +261,7 @@
 
     async def _follow_members(self, driver: ConsensusDriver) -> None:
         while True:
-            self._links.follow(driver.node.membership.members)
+            self._links.set_members(driver.node.membership.members)
             await asyncio.sleep(MEMBERS_POLL_INTERVAL_S)
 
     def _on_role(self, role: Role) -> None:
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -156,7 +156,7 @@
         members = [] if driver is None else driver.node.membership.members
         known = [f"{member.host}:{member.port}" for member in members]
         if not known:
-            known = [format_address(address) for address in self._contacts.known()]
+            known = [format_address(address) for address in self._contacts.known_addresses()]
         return NotLeader(None if driver is None else driver.leader_address(), known)
 
     def _handle_group_request(
--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -98,7 +98,7 @@
                     backoff.reset()
                     break
             else:
-                self._contacts.missed(monotonic_s())
+                self._contacts.note_not_found(monotonic_s())
             await asyncio.sleep(backoff.next_s())
 
     async def _follow(self, address: Address) -> bool:
@@ -135,16 +135,16 @@
             self.demand.add(demand)
             return False
         if isinstance(reply, NotLeader):
-            self._contacts.refer([parse_address(member) for member in reply.members])
+            self._contacts.add_referrals([parse_address(member) for member in reply.members])
         if not isinstance(reply, Freshness):
             self.demand.add(demand)
             return False
-        self._contacts.found()
+        self._contacts.note_found()
         self._required_revision = max(self._required_revision, reply.revision)
         self._confirmed_at_s = max(self._confirmed_at_s, sent_at_s)
         self._hooks.on_entries(max(1, reply.entries))
         if reply.members:
-            self._contacts.learn([parse_address(member) for member in reply.members])
+            self._contacts.set_members([parse_address(member) for member in reply.members])
             self._hooks.on_members(self._contacts.members)
         return True
 
--- a/src/crowsill/entry/role.py
+++ b/src/crowsill/entry/role.py
@@ -56,7 +56,7 @@
             on_configuration=self._on_configuration,
             on_fleet=self._on_fleet,
             on_entries=self._on_entries,
-            on_members=self._leader_client.use_members,
+            on_members=self._leader_client.set_members,
         )
         self._follower = EntryFollower(local, entry.control_members, hooks, random)
         self._stopping = False
--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -126,16 +126,18 @@
         """Return known members: those of the own zone first, and the last that failed last."""
         targets = self._contacts.targets()
         if monotonic_s() >= self._prefer_own_zone_at_s:
-            targets.sort(key=lambda address: not self._contacts.is_at(address, self._local.zone))
+            targets.sort(
+                key=lambda address: not self._contacts.is_in_zone(address, self._local.zone)
+            )
         targets.sort(key=lambda address: address == self._last_failed)
         return targets
 
     def _should_switch_zone(self, address: Address, now_s: float) -> bool:
         """Whether to switch from this member to one of the own zone."""
         zone = self._local.zone
-        if now_s < self._prefer_own_zone_at_s or self._contacts.is_at(address, zone):
+        if now_s < self._prefer_own_zone_at_s or self._contacts.is_in_zone(address, zone):
             return False
-        return any(self._contacts.is_at(member, zone) for member in self._contacts.members)
+        return any(self._contacts.is_in_zone(member, zone) for member in self._contacts.members)
 
     async def run(self) -> None:
         """Follow members one after the other, until cancelled."""
@@ -148,7 +150,7 @@
                     delay_s = INITIAL_RETRY_S
                     break
             else:
-                self._contacts.missed(monotonic_s())
+                self._contacts.note_not_found(monotonic_s())
             if self._is_switching_zone:
                 self._is_switching_zone = False
                 continue
@@ -171,7 +173,7 @@
                 if not was_confirmed:
                     log_event(Event.PEER_CONNECTED, member=connection.peer.node)
                 was_confirmed = True
-                self._contacts.found()
+                self._contacts.note_found()
                 self._connection = connection
                 if self._should_switch_zone(address, monotonic_s()):
                     self._is_switching_zone = True
@@ -188,7 +190,7 @@
 
     def _note_member_failed(self, address: Address) -> None:
         """Stop preferring the own zone for a while if one of its members failed."""
-        if self._contacts.is_at(address, self._local.zone):
+        if self._contacts.is_in_zone(address, self._local.zone):
             self._prefer_own_zone_at_s = monotonic_s() + ZONE_SWITCH_RETRY_S * (
                 1.0 + self._random.random()
             )
@@ -229,7 +231,7 @@
         if isinstance(reply, NotLeader):
             # Unverified addresses: a process that restarted without state may have no others.
             referred = [*([] if reply.leader is None else [reply.leader]), *reply.members]
-            self._contacts.refer([parse_address(member) for member in referred])
+            self._contacts.add_referrals([parse_address(member) for member in referred])
         if not isinstance(reply, Freshness):
             # The counts are dropped. Sent later, they would look like a burst of requests.
             return False
@@ -238,7 +240,7 @@
             self.registry.note_total_use(reply.in_use, in_use, monotonic_s())
         if reply.members:
             members = [parse_address(member) for member in reply.members]
-            self._contacts.learn(members, reply.member_zones)
+            self._contacts.set_members(members, reply.member_zones)
         if self._pending_freshness is not None:
             # A stream is ordered: what one reply confirmed is pushed before the next reply, however
             # slow the link is. What is still missing will not arrive; follow another member.
--- a/src/crowsill/transport/__init__.py
+++ b/src/crowsill/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Message streams between crowsill's own processes."""
+"""Messages and message streams between crowsill's own processes."""
--- a/src/crowsill/transport/connection.py
+++ b/src/crowsill/transport/connection.py
@@ -1,4 +1,4 @@
-"""One authenticated stream: requests with replies, and pushes, in both directions."""
+"""An authenticated stream that carries requests, replies and pushes in both directions."""
 
 import asyncio
 import contextlib
@@ -22,10 +22,10 @@
 )
 
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-PEER_SILENCE_S = 2.0
-# A machine without power answers nothing, and the system sends the opening packet again only after
-# a second. Links of the deployments take milliseconds, so that a new try is sooner; all callers try
-# again or go on to another machine.
+PEER_TIMEOUT_S = 2.0
+# A machine without power does not respond, and the kernel repeats the SYN only after a second.
+# Round trips between machines take milliseconds, so a new attempt is faster. All callers retry or
+# try another machine.
 CONNECT_TIMEOUT_S = 0.3
 
 RequestHandler = Callable[["Connection", Body], Awaitable[Body]]
@@ -33,13 +33,13 @@
 
 
 class ConnectionLostError(Exception):
-    """The stream ended before the reply: the request may or may not have been handled."""
+    """The stream ended before the reply: the request may or may not have been processed."""
 
     kind = ErrorKind.NO_LEADER
 
 
 def encode_push(body: Body) -> bytes:
-    """Encode a push once, for any number of streams."""
+    """Encode a push once, to send it on any number of streams."""
     return encode(Frame(0, False, body))
 
 
@@ -47,7 +47,7 @@
     """An open stream.
 
     Attributes:
-        peer: Who is at the other end.
+        peer: Identity of the peer.
     """
 
     def __init__(
@@ -63,8 +63,8 @@
         self.peer = peer
         self._on_request = on_request
         self._on_push = on_push
-        self._next_correlation = 1
-        self._waiting: dict[int, asyncio.Future[Body]] = {}
+        self._next_correlation_id = 1
+        self._pending_replies: dict[int, asyncio.Future[Body]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
 
@@ -74,15 +74,15 @@
         return self._closed or self._writer.is_closing()
 
     def push(self, body: Body) -> bool:
-        """Send without a reply.
+        """Send a message that has no reply.
 
         Returns:
-            False when it was dropped, because the stream is closed or its buffer is full.
+            False if the message was dropped because the stream is closed or its buffer is full.
         """
         return self._write(Frame(0, False, body))
 
     def push_encoded(self, payload: bytes) -> bool:
-        """Send a frame made by `encode_push`, so that many streams share one encoding."""
+        """Send a frame that `encode_push` returned; return False if it was dropped."""
         return self._write_bytes(payload)
 
     def _write(self, frame: Frame) -> bool:
@@ -103,46 +103,46 @@
         Raises:
             ConnectionLostError: The stream ended or `timeout_s` passed without a reply.
         """
-        correlation = self._next_correlation
-        self._next_correlation += 1
+        correlation_id = self._next_correlation_id
+        self._next_correlation_id += 1
         future: asyncio.Future[Body] = asyncio.get_running_loop().create_future()
-        self._waiting[correlation] = future
+        self._pending_replies[correlation_id] = future
         try:
-            if not self._write(Frame(correlation, False, body)):
-                raise ConnectionLostError("stream closed")
-            # Not `wait_for`: it loses a cancellation that meets the reply.
+            if not self._write(Frame(correlation_id, False, body)):
+                raise ConnectionLostError("the stream is closed")
+            # Not `wait_for`: it loses a cancellation that coincides with the reply.
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise ConnectionLostError("no reply in time") from error
+            raise ConnectionLostError("no reply before the timeout") from error
         finally:
-            self._waiting.pop(correlation, None)
+            self._pending_replies.pop(correlation_id, None)
 
     async def run(self) -> None:
-        """Read until the stream ends; returns then."""
+        """Read and dispatch frames until the stream ends."""
         try:
             while True:
                 frame, size = await read_frame(self._reader)
                 CONTROL_BYTES.labels("received").inc(size)
-                self._take(frame)
+                self._dispatch(frame)
         except (asyncio.IncompleteReadError, OSError, ProtocolError):
             pass
         finally:
             self.close()
 
-    def _take(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         if frame.is_reply:
-            future = self._waiting.get(frame.correlation_id)
+            future = self._pending_replies.get(frame.correlation_id)
             if future is not None and not future.done():
                 future.set_result(frame.body)
         elif frame.correlation_id and self._on_request is not None:
-            task = asyncio.create_task(self._answer(frame))
+            task = asyncio.create_task(self._handle_request(frame))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         elif self._on_push is not None:
             self._on_push(self, frame.body)
 
-    async def _answer(self, frame: Frame) -> None:
+    async def _handle_request(self, frame: Frame) -> None:
         if self._on_request is None:
             return
         try:
@@ -158,9 +158,9 @@
         if self._closed:
             return
         self._closed = True
-        for future in self._waiting.values():
+        for future in self._pending_replies.values():
             if not future.done():
-                future.set_exception(ConnectionLostError("stream closed"))
+                future.set_exception(ConnectionLostError("the stream was closed"))
         with contextlib.suppress(OSError, RuntimeError):
             self._writer.close()
 
@@ -172,17 +172,17 @@
     on_request: RequestHandler | None = None,
     on_push: PushHandler | None = None,
 ) -> Connection:
-    """Connect and authenticate.
+    """Open a stream and authenticate both sides.
 
     Raises:
-        OSError: The address does not answer.
+        OSError: The address does not accept connections.
         ProtocolError: The handshake failed.
-        TimeoutError: It took too long.
+        TimeoutError: Connecting or the handshake took too long.
     """
     async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
-        set_peer_timeout(writer.transport, PEER_SILENCE_S)
+        set_peer_timeout(writer.transport, PEER_TIMEOUT_S)
         try:
             peer = await connect_handshake(reader, writer, local)
         except (asyncio.IncompleteReadError, ProtocolError) as error:
@@ -195,7 +195,11 @@
 
 
 class ConnectionServer:
-    """Accepts authenticated streams."""
+    """Accepts authenticated streams.
+
+    Attributes:
+        connections: All open streams.
+    """
 
     def __init__(
         self,
@@ -212,13 +216,13 @@
         self.connections: set[Connection] = set()
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port."""
+        """Start to listen and return the port."""
         self._server = await asyncio.start_server(self._accept, host, port)
         bound: int = self._server.sockets[0].getsockname()[1]
         return bound
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        set_peer_timeout(writer.transport, PEER_SILENCE_S)
+        set_peer_timeout(writer.transport, PEER_TIMEOUT_S)
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 peer = await accept_handshake(reader, writer, self._local)
--- a/src/crowsill/transport/leader_client.py
+++ b/src/crowsill/transport/leader_client.py
@@ -1,7 +1,7 @@
-"""Requests to the leading control member, wherever it is.
+"""Sends requests to the leader of the control group and locates it.
 
-Only requests that may safely be handled twice go through here: a command carries its own id, so
-a resend after a lost reply gets the first answer.
+Only requests that may be processed twice are sent this way: a command carries its own id, so that
+a repetition after a lost reply returns the first result.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 from crowsill.transport.messages import Body, NotLeader, OutcomeUnknown, SubmitCommand, Submitted
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
-FIRST_RETRY_S = 0.02
-LARGEST_RETRY_S = 0.25
+INITIAL_RETRY_S = 0.02
+MAX_RETRY_S = 0.25
 REQUEST_TIMEOUT_S = 2.0
 
 
 def parse_address(text: str) -> Address:
-    """Split `IP:port`.
+    """Parse `IP:port`.
 
     >>> parse_address("127.0.0.1:80")
     Address(host='127.0.0.1', port=80)
@@ -33,7 +33,7 @@
 
 
 def format_address(address: Address) -> str:
-    """Write an address as `IP:port`.
+    """Format an address as `IP:port`.
 
     >>> format_address(Address("127.0.0.1", 80))
     '127.0.0.1:80'
@@ -42,15 +42,15 @@
 
 
 class LeaderClient:
-    """Finds the leader and keeps one stream to it."""
+    """Locates the leader and keeps streams to the members that it has queried."""
 
     def __init__(self, local: LocalIdentity, members: list[Address], random: Random) -> None:
         """Make a client.
 
         Args:
             local: Identity for the handshake.
-            members: Addresses to ask for the leader.
-            random: Source of the order and of delays.
+            members: Addresses of members, which redirect to the leader.
+            random: Randomizes the choice of members and the delays.
         """
         self._local = local
         self._members = members
@@ -60,39 +60,41 @@
         self._connecting: dict[Address, asyncio.Task[Connection]] = {}
         self._leader: Address | None = None
 
-    def use_members(self, members: list[Address]) -> None:
-        """Ask these members from now on."""
+    def set_members(self, members: list[Address]) -> None:
+        """Replace the addresses of members."""
         self._members = members
 
-    async def submit(self, request: SubmitCommand, deadline_s: float) -> Result[Submitted, Problem]:
-        """Have a command committed.
+    async def submit(
+        self, request: SubmitCommand, deadline_at_s: float
+    ) -> Result[Submitted, Problem]:
+        """Submit a command to the leader and retry until it is committed.
 
         Args:
             request: The command; it must carry its own id.
-            deadline_s: Monotonic clock when to give up.
+            deadline_at_s: Monotonic time in seconds after which no attempt begins.
 
         Returns:
-            The result; or a problem, after which the command may still be committed.
+            The result, or a problem; after a problem the command may still be committed.
         """
-        backoff = Backoff(FIRST_RETRY_S, LARGEST_RETRY_S, self._random)
-        while monotonic_s() < deadline_s:
-            reply = await self._try_once(request, deadline_s)
+        backoff = Backoff(INITIAL_RETRY_S, MAX_RETRY_S, self._random)
+        while monotonic_s() < deadline_at_s:
+            reply = await self._attempt(request, deadline_at_s)
             if isinstance(reply, Submitted):
                 return Success(reply)
-            redirected = isinstance(reply, NotLeader) and self._follow(reply)
+            redirected = isinstance(reply, NotLeader) and self._update_leader(reply)
             if not redirected:
-                await asyncio.sleep(min(backoff.next_s(), max(0.0, deadline_s - monotonic_s())))
-        return Failure(Problem(ErrorKind.NO_LEADER, "no majority of control members answers"))
+                await asyncio.sleep(min(backoff.next_s(), max(0.0, deadline_at_s - monotonic_s())))
+        return Failure(Problem(ErrorKind.NO_LEADER, "no majority of control members responds"))
 
-    def _follow(self, reply: NotLeader) -> bool:
+    def _update_leader(self, reply: NotLeader) -> bool:
         target = None if reply.leader is None else parse_address(reply.leader)
         changed = target is not None and target != self._leader
         self._leader = target
         return changed
 
-    async def _try_once(self, request: Body, deadline_s: float) -> Body | None:
+    async def _attempt(self, request: Body, deadline_at_s: float) -> Body | None:
         address = self._leader or self._random.choice(self._members)
-        timeout_s = max(0.01, min(REQUEST_TIMEOUT_S, deadline_s - monotonic_s()))
+        timeout_s = max(0.01, min(REQUEST_TIMEOUT_S, deadline_at_s - monotonic_s()))
         try:
             async with asyncio.timeout(timeout_s):
                 connection = await self._connection(address)
@@ -107,20 +109,21 @@
         return reply
 
     async def _connection(self, address: Address) -> Connection:
-        known = self._connections.get(address)
-        if known is not None and not known.is_closed:
-            return known
+        existing = self._connections.get(address)
+        if existing is not None and not existing.is_closed:
+            return existing
         connecting = self._connecting.get(address)
         if connecting is None:
             connecting = asyncio.create_task(self._connect(address))
             self._connecting[address] = connecting
-            connecting.add_done_callback(lambda task: self._connected(address, task))
+            connecting.add_done_callback(lambda task: self._note_connected(address, task))
         return await asyncio.shield(connecting)
 
-    def _connected(self, address: Address, task: asyncio.Task[Connection]) -> None:
+    def _note_connected(self, address: Address, task: asyncio.Task[Connection]) -> None:
         self._connecting.pop(address, None)
         if not task.cancelled():
-            task.exception()  # Retrieved by those who wait; marks it as seen.
+            # Marks the exception as retrieved; asyncio would log it if all waiters were cancelled.
+            task.exception()
 
     async def _connect(self, address: Address) -> Connection:
         connection = await open_connection(address.host, address.port, self._local)
--- a/src/crowsill/transport/member_links.py
+++ b/src/crowsill/transport/member_links.py
@@ -1,4 +1,4 @@
-"""Streams from this control member to the others, for consensus messages."""
+"""Streams from this control member to the other members, for consensus messages."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -13,21 +13,21 @@
 from crowsill.transport.messages import Body, ConsensusTraffic, Ping
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
-FIRST_RETRY_S = 0.05
-# A member that comes back must be heard before an election ends without it.
-LARGEST_RETRY_S = 0.3
-# A stream may go silent for good without a reset while new ones work, and what members send on it
-# is not answered on it: without a question of its own nobody notices. A test in which all streams
-# of a group go silent takes up to 2.2 s with it, the start of the group included; without it
-# nothing was committed within 10 s.
-PROBE_S = 0.5
+INITIAL_RETRY_S = 0.05
+# A restarted member must be reachable again before an election ends without it.
+MAX_RETRY_S = 0.3
+# A stream may go silent permanently without a reset while new streams work. Consensus messages have
+# no reply on the same stream, so only a probe detects this. In a test in which all streams of a
+# group go silent, the group commits within 2.2 s, its start included; without probes it commits
+# nothing within 10 s.
+PROBE_INTERVAL_S = 0.5
 PROBE_TIMEOUT_S = 0.8
 
 
 class MemberLinks:
-    """One outgoing stream to each other member, opened again when it ends.
+    """One outgoing stream to each other member, reopened whenever it ends.
 
-    Messages for a member that cannot be reached are dropped: the protocol repeats them.
+    Messages for an unreachable member are dropped; the consensus protocol repeats them.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         random: Random,
         on_envelopes: Callable[[list[Envelope]], None],
     ) -> None:
-        """Make the links; `on_envelopes` receives messages that come back on them."""
+        """Create the links; `on_envelopes` receives messages that arrive on them."""
         self._on_envelopes = on_envelopes
         self._local = local
         self._random = random
@@ -44,8 +44,8 @@
         self._connections: dict[str, Connection] = {}
         self._incoming: dict[str, Connection] = {}
 
-    def follow(self, members: Iterable[Member]) -> None:
-        """Keep streams to exactly these members, other than this one."""
+    def set_members(self, members: Iterable[Member]) -> None:
+        """Keep streams to exactly these members, except to this one."""
         wanted = {member for member in members if member.member_id != self._local.identity}
         for member in set(self._tasks) - wanted:
             self._tasks.pop(member).cancel()
@@ -56,14 +56,14 @@
             self._tasks[member] = asyncio.create_task(self._keep_open(member))
 
     def note_incoming(self, connection: Connection) -> None:
-        """Remember a stream that a member opened.
+        """Record a stream that a member opened.
 
-        A member that does not know the membership yet can answer only on such a stream.
+        A member that does not know the membership yet can respond only on such a stream.
         """
         self._incoming[connection.peer.identity] = connection
 
     def send(self, envelopes: list[Envelope]) -> None:
-        """Send messages, those for one member in one frame."""
+        """Send messages; those for the same member share a frame."""
         by_target: dict[str, list[Envelope]] = {}
         for envelope in envelopes:
             by_target.setdefault(envelope.target, []).append(envelope)
@@ -77,7 +77,7 @@
             self._on_envelopes(body.envelopes)
 
     async def _keep_open(self, member: Member) -> None:
-        backoff = Backoff(FIRST_RETRY_S, LARGEST_RETRY_S, self._random)
+        backoff = Backoff(INITIAL_RETRY_S, MAX_RETRY_S, self._random)
         while True:
             try:
                 connection = await open_connection(
@@ -89,11 +89,11 @@
             backoff.reset()
             self._connections[member.member_id] = connection
             log_event(Event.PEER_CONNECTED, member=member.name)
-            probing = asyncio.create_task(_probe(connection))
+            probe_task = asyncio.create_task(_probe(connection))
             try:
                 await connection.run()
             finally:
-                probing.cancel()
+                probe_task.cancel()
                 connection.close()
                 if self._connections.get(member.member_id) is connection:
                     del self._connections[member.member_id]
@@ -101,15 +101,15 @@
 
     def close(self) -> None:
         """Close all streams."""
-        self.follow([])
+        self.set_members([])
 
 
 async def _probe(connection: Connection) -> None:
-    """Close a stream on which no answer comes, so that a new one is opened."""
+    """Probe a stream and close it if a reply is missing, so that a new one is opened."""
     while not connection.is_closed:
         try:
             await connection.request(Ping(), PROBE_TIMEOUT_S)
         except ConnectionLostError:
             connection.close()
             return
-        await asyncio.sleep(PROBE_S)
+        await asyncio.sleep(PROBE_INTERVAL_S)
--- a/src/crowsill/transport/query.py
+++ b/src/crowsill/transport/query.py
@@ -1,4 +1,4 @@
-"""One question to one crowsill process, on a stream of its own."""
+"""A single query to a crowsill process, on a separate stream."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 
 
 async def query_once(
-    target: Address, question: Body, local: LocalIdentity, timeout_s: float
+    target: Address, request: Body, local: LocalIdentity, timeout_s: float
 ) -> Body | None:
-    """Ask a process; None when it cannot be reached or does not answer in time."""
+    """Query a process; return None if it is unreachable or does not respond in time."""
     try:
         connection = await open_connection(target.host, target.port, local)
     except (OSError, TimeoutError, ProtocolError):
         return None
     reader = asyncio.create_task(connection.run())
     try:
-        return await connection.request(question, timeout_s)
+        return await connection.request(request, timeout_s)
     except ConnectionLostError:
         return None
     finally:
@@ -28,15 +28,15 @@
 
 
 async def query_leader(
-    target: Address, question: Body, local: LocalIdentity, timeout_s: float
+    target: Address, request: Body, local: LocalIdentity, timeout_s: float
 ) -> tuple[Address, Body | None]:
-    """Ask a process what only the leader answers, and the one it names if it does not lead.
+    """Send a query that only the leader answers, and repeat it once if redirected to the leader.
 
     Returns:
-        Who was asked last, and its answer.
+        Address of the process queried last, and its reply; None if it did not respond.
     """
-    reply = await query_once(target, question, local, timeout_s)
+    reply = await query_once(target, request, local, timeout_s)
     if isinstance(reply, NotLeader) and reply.leader is not None:
         target = parse_address(reply.leader)
-        reply = await query_once(target, question, local, timeout_s)
+        reply = await query_once(target, request, local, timeout_s)
     return target, reply
--- a/src/crowsill/transport/stream.py
+++ b/src/crowsill/transport/stream.py
@@ -1,4 +1,4 @@
-"""Length-prefixed msgpack frames over TCP, with a mutual handshake by shared key."""
+"""Length-prefixed msgpack frames over TCP, with mutual authentication by a shared key."""
 
 import asyncio
 import hashlib
@@ -18,19 +18,25 @@
 _NONCE_BYTES = 16
 HANDSHAKE_TIMEOUT_S = 1.5
 # The key of a cluster without a key file.
-OPEN_CLUSTER_KEY = hashlib.sha256(b"crowsill open cluster").digest()
+DEFAULT_CLUSTER_KEY = hashlib.sha256(b"crowsill open cluster").digest()
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Frame)
 
 
 class ProtocolError(Exception):
-    """The other side broke the protocol; the stream is closed."""
+    """The peer violated the protocol; the stream is closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who is at the other end of a stream."""
+    """Identity of a stream's peer.
+
+    Attributes:
+        node: Name of the process.
+        identity: Member id, or the incarnation of an entry.
+        zone: Zone of the process; empty if unknown.
+    """
 
     node: str
     identity: str
@@ -39,7 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalIdentity:
-    """Who this process is, and the key all processes share."""
+    """Identity of this process.
+
+    Attributes:
+        node: Name of the process.
+        identity: Member id, or the incarnation of an entry.
+        zone: Zone of the process.
+        key: Key that all processes of the cluster share.
+    """
 
     node: str
     identity: str
@@ -48,13 +61,13 @@
 
 
 def load_cluster_key(file_name: str | Path) -> Result[bytes, str]:
-    """Read the shared key; at least 16 bytes are asked for.
+    """Derive the shared key from a file of at least 16 bytes.
 
-    Without a file every process has the same known key: the handshake then only tells crowsill's
-    processes from others, and the network must keep strangers out.
+    Without a file all processes use the same public key. The handshake then only distinguishes
+    crowsill's processes from others, and the network must block access by strangers.
     """
     if not str(file_name):
-        return Success(OPEN_CLUSTER_KEY)
+        return Success(DEFAULT_CLUSTER_KEY)
     path = Path(file_name)
     try:
         content = path.read_bytes().strip()
@@ -66,7 +79,7 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Return the frame with its length in front."""
+    """Encode a frame, preceded by its length."""
     payload = _encoder.encode(frame)
     return _LENGTH.pack(len(payload)) + payload
 
@@ -75,16 +88,16 @@
     """Read one frame.
 
     Returns:
-        The frame and its size in bytes.
+        The frame and its size in bytes, including the length prefix.
 
     Raises:
-        ProtocolError: It is too large or malformed.
+        ProtocolError: The frame is too large or malformed.
         asyncio.IncompleteReadError: The stream ended.
     """
     header = await reader.readexactly(_LENGTH.size)
     (length,) = _LENGTH.unpack(header)
     if length > MAX_FRAME_BYTES:
-        raise ProtocolError(f"frame of {length} bytes")
+        raise ProtocolError(f"frame of {length} bytes is longer than {MAX_FRAME_BYTES} bytes")
     payload = await reader.readexactly(length)
     try:
         return _decoder.decode(payload), length + _LENGTH.size
@@ -92,11 +105,11 @@
         raise ProtocolError(str(error)) from error
 
 
-def _proof(key: bytes, side: bytes, client_nonce: bytes, server_nonce: bytes) -> bytes:
+def _compute_proof(key: bytes, side: bytes, client_nonce: bytes, server_nonce: bytes) -> bytes:
     return hmac.digest(key, side + client_nonce + server_nonce, "sha256")
 
 
-async def _expect(reader: asyncio.StreamReader) -> Body:
+async def _read_body(reader: asyncio.StreamReader) -> Body:
     frame, _ = await read_frame(reader)
     return frame.body
 
@@ -104,23 +117,23 @@
 async def connect_handshake(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, local: LocalIdentity
 ) -> PeerIdentity:
-    """Authenticate both sides, as the connecting one.
+    """Authenticate both sides, as the connecting side.
 
     Raises:
-        ProtocolError: The other side has another version or does not know the key.
+        ProtocolError: The peer has another protocol version or does not know the key.
     """
     nonce = secrets.token_bytes(_NONCE_BYTES)
     hello = Hello(CONTROL_PROTOCOL_VERSION, local.node, local.identity, local.zone, nonce)
     writer.write(encode(Frame(0, False, hello)))
-    challenge = await _expect(reader)
+    challenge = await _read_body(reader)
     if not isinstance(challenge, Challenge):
-        raise ProtocolError("expected a challenge")
+        raise ProtocolError("expected a challenge as the second frame")
     if challenge.version != CONTROL_PROTOCOL_VERSION:
-        raise ProtocolError(f"protocol version {challenge.version}")
-    expected = _proof(local.key, b"server", nonce, challenge.nonce)
+        raise ProtocolError(f"unsupported protocol version {challenge.version}")
+    expected = _compute_proof(local.key, b"server", nonce, challenge.nonce)
     if not hmac.compare_digest(expected, challenge.proof):
-        raise ProtocolError("the other side does not know the cluster key")
-    proof = _proof(local.key, b"client", nonce, challenge.nonce)
+        raise ProtocolError("the peer does not know the cluster key")
+    proof = _compute_proof(local.key, b"client", nonce, challenge.nonce)
     writer.write(encode(Frame(0, False, Proof(proof))))
     return PeerIdentity(challenge.node, challenge.identity, "")
 
@@ -128,20 +141,20 @@
 async def accept_handshake(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, local: LocalIdentity
 ) -> PeerIdentity:
-    """Authenticate both sides, as the accepting one.
+    """Authenticate both sides, as the accepting side.
 
     Raises:
-        ProtocolError: The other side has another version or does not know the key.
+        ProtocolError: The peer has another protocol version or does not know the key.
     """
-    hello = await _expect(reader)
+    hello = await _read_body(reader)
     if not isinstance(hello, Hello) or hello.version != CONTROL_PROTOCOL_VERSION:
-        raise ProtocolError("expected a hello of this version")
+        raise ProtocolError("expected a hello of this protocol version as the first frame")
     nonce = secrets.token_bytes(_NONCE_BYTES)
-    proof = _proof(local.key, b"server", hello.nonce, nonce)
+    proof = _compute_proof(local.key, b"server", hello.nonce, nonce)
     challenge = Challenge(CONTROL_PROTOCOL_VERSION, local.node, local.identity, nonce, proof)
     writer.write(encode(Frame(0, False, challenge)))
-    answer = await _expect(reader)
-    expected = _proof(local.key, b"client", hello.nonce, nonce)
-    if not isinstance(answer, Proof) or not hmac.compare_digest(expected, answer.proof):
-        raise ProtocolError("the other side does not know the cluster key")
+    reply = await _read_body(reader)
+    expected = _compute_proof(local.key, b"client", hello.nonce, nonce)
+    if not isinstance(reply, Proof) or not hmac.compare_digest(expected, reply.proof):
+        raise ProtocolError("the peer does not know the cluster key")
     return PeerIdentity(hello.node, hello.identity, hello.zone)
--- a/src/crowsill_lab/soak/losses.py
+++ b/src/crowsill_lab/soak/losses.py
@@ -9,7 +9,7 @@
 from crowsill.settings import Address
 from crowsill.transport.membership_messages import MemberAction, MembersReport, MembersRequest
 from crowsill.transport.query import query_leader
-from crowsill.transport.stream import OPEN_CLUSTER_KEY, LocalIdentity
+from crowsill.transport.stream import DEFAULT_CLUSTER_KEY, LocalIdentity
 from crowsill_lab.demo.processes import ManagedProcess
 from crowsill_lab.soak.ledger import Ledger
 from crowsill_lab.soak.seeded_site import SEEDS, SeededSite
@@ -41,7 +41,7 @@
         self._ledger = ledger
         self._random = random
         self._note = note
-        self._local = LocalIdentity("soak", "soak", "z", OPEN_CLUSTER_KEY)
+        self._local = LocalIdentity("soak", "soak", "z", DEFAULT_CLUSTER_KEY)
 
     async def lose_disks(self) -> None:
         """Kill as many members as the group bears, and empty their disks."""
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -81,7 +81,7 @@
                 await connection.request(Ping(), 5.0)
 
         def reply():
-            next(iter(connection._waiting.values())).set_result(Pong())
+            next(iter(connection._pending_replies.values())).set_result(Pong())
 
         return await stops_when_cancelled(asyncio.create_task(request()), reply, steps)
 
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -24,16 +24,16 @@
 
 def test_targets_are_members_then_referrals_then_seeds():
     known_contacts = contacts([SEED])
-    known_contacts.learn([LEADER])
-    known_contacts.refer([FOLLOWER])
+    known_contacts.set_members([LEADER])
+    known_contacts.add_referrals([FOLLOWER])
     assert known_contacts.targets() == [LEADER, FOLLOWER, SEED]
 
 
 def test_referrals_never_replace_the_members_reported_by_a_leader():
     # A former member's response must not lead a process back to members that no longer exist.
     known_contacts = contacts([SEED])
-    known_contacts.learn([LEADER])
-    known_contacts.refer([Address("10.9.0.1", number) for number in range(100)])
+    known_contacts.set_members([LEADER])
+    known_contacts.add_referrals([Address("10.9.0.1", number) for number in range(100)])
     assert known_contacts.targets()[0] == LEADER and known_contacts.targets()[-1] == SEED
     assert len(known_contacts.targets()) == MAX_REFERRALS + 2
 
@@ -42,16 +42,16 @@
     # Each outdated address costs a search 0.3 s. Sixteen of them, left from machines that were
     # replaced one by one, would delay a gateway that has just lost all members by 5 s.
     known_contacts = contacts([SEED])
-    known_contacts.refer([Address("10.9.0.1", number) for number in range(MAX_REFERRALS)])
-    known_contacts.learn([LEADER])
+    known_contacts.add_referrals([Address("10.9.0.1", number) for number in range(MAX_REFERRALS)])
+    known_contacts.set_members([LEADER])
     assert known_contacts.targets() == [LEADER, SEED]
 
 
 def test_empty_response_removes_no_member():
     known_contacts = contacts()
-    known_contacts.learn([LEADER])
-    known_contacts.learn([])
-    assert known_contacts.known() == [LEADER]
+    known_contacts.set_members([LEADER])
+    known_contacts.set_members([])
+    assert known_contacts.known_addresses() == [LEADER]
 
 
 def test_control_addresses_are_bounded_and_survive_a_snapshot():
