--- a/src/crowsill/api/callers.py
+++ b/src/crowsill/api/callers.py
@@ -207,7 +207,11 @@
         request_id = request_id_of(request)
         table = self._pipeline.table
         if table is None:
-            write_problem(response, Problem(ErrorKind.NOT_READY, "starting"), request_id)
+            write_problem(
+                response,
+                Problem(ErrorKind.NOT_READY, "this entry has not received a configuration yet"),
+                request_id,
+            )
             return
         authenticated = authenticate(_incoming(request, request_id, b""), table)
         if not isinstance(authenticated, Success):
--- a/src/crowsill/entry/role.py
+++ b/src/crowsill/entry/role.py
@@ -137,10 +137,7 @@
         self._selector.entries = entries
 
     async def drain(self) -> bool:
-        """Prepare a planned stop.
-
-        The entry first reports that it isn't ready, and still accepts requests until the load
-        balancer has noticed. Then it closes the listener and finishes the requests in flight.
+        """Keep accepting callers until the load balancer has noticed, then finish open requests.
 
         Returns:
             False if requests were still unfinished at the time limit.
@@ -161,7 +158,7 @@
         return self._pipeline.unfinished_count if self._pipeline is not None else 0
 
     async def stop(self) -> None:
-        """Close the listener and all connections, and cancel the background tasks."""
+        """Stop all tasks and close all connections."""
         if self._server is not None:
             await self._server.stop()
         for task in self._tasks:
