--- a/src/crowsill/storage/__init__.py
+++ b/src/crowsill/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable files below the data folder."""
+"""Durable files in the data folder."""
--- a/src/crowsill/storage/folder.py
+++ b/src/crowsill/storage/folder.py
@@ -1,4 +1,4 @@
-"""The data folder: one process at a time, and an identity bound to the disk."""
+"""The data folder, which one process locks and which stores the identity of that process."""
 
 import fcntl
 import os
@@ -12,7 +12,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make creations and renames in a folder durable."""
+    """Make the creation and renaming of files in a folder durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -21,7 +21,7 @@
 
 
 def replace_file(path: Path, content: bytes) -> None:
-    """Replace a file so that after a crash it is either the old or the new one."""
+    """Replace a file atomically: after a crash it has either the old or the new content."""
     temporary = path.with_suffix(".new")
     with temporary.open("wb") as file:
         file.write(content)
@@ -36,8 +36,8 @@
 
     Attributes:
         path: The folder.
-        identity: `name.random`; an emptied folder gets another one, so a member that lost its
-            disk is never taken for its former self.
+        identity: `NAME.RANDOM`. An emptied folder gets a new identity, so that a member that lost
+            its disk cannot be confused with the member before the loss.
     """
 
     def __init__(self, path: Path, identity: str, lock_descriptor: int) -> None:
@@ -51,11 +51,15 @@
 
 
 def open_data_folder(path: Path, node: str) -> Result[DataFolder, str]:
-    """Create the folder if missing, lock it and read or make its identity.
+    """Create the folder if it is missing, lock it, and read or create its identity.
 
     Args:
         path: The folder.
-        node: Name of this process; a folder of another node is refused.
+        node: Name of this process.
+
+    Returns:
+        The folder, or an error description if the folder is inaccessible, locked by another
+        process or belongs to another node.
     """
     try:
         path.mkdir(parents=True, exist_ok=True)
--- a/src/crowsill/storage/frames.py
+++ b/src/crowsill/storage/frames.py
@@ -1,9 +1,9 @@
-"""Checksummed frames in a file, and the difference between a torn tail and damage.
+"""Checksummed frames in a file; distinguishes a torn tail from damage.
 
-One frame holds everything of one synced write, and the next frame is written only after that
-sync. So an invalid frame with nothing valid behind it is the torn tail of a write that was never
-acknowledged, and may be cut. An invalid frame with a valid one behind it was synced once: that is
-damage, and the file is refused.
+One frame holds the data of one synced write, and the next frame is written only after that sync.
+An invalid frame without a valid frame behind it is therefore the torn tail of a write that was
+never acknowledged, and may be truncated. An invalid frame with a valid frame behind it had been
+synced: the file is damaged and is rejected.
 """
 
 import struct
@@ -16,7 +16,7 @@
 
 
 class DamagedFileError(Exception):
-    """A file is damaged where it had been synced."""
+    """A file is damaged in a part that had been synced."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,8 +24,8 @@
     """The valid frames at the start of a file.
 
     Attributes:
-        payloads: Their payloads in order.
-        valid_bytes: Length of the valid part; the rest is a torn tail.
+        payloads: Payloads of the frames, in order.
+        valid_bytes: Length of the valid part in bytes; the rest is a torn tail.
     """
 
     payloads: list[bytes]
@@ -33,7 +33,7 @@
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return a frame with magic, length and checksum.
+    """Encode a payload as a frame with magic number, length and CRC-32 checksum.
 
     >>> scan_frames(encode_frame(b"one") + encode_frame(b"two")).payloads
     [b'one', b'two']
@@ -56,7 +56,7 @@
     """Read frames up to the first invalid one.
 
     Args:
-        content: The whole file.
+        content: The content of the file.
 
     Raises:
         DamagedFileError: A valid frame follows the invalid one.
@@ -73,7 +73,7 @@
     candidate = content.find(MAGIC, offset + 1)
     while candidate != -1:
         if _frame_at(content, candidate) is not None:
-            message = f"invalid frame at byte {offset}, but a valid one at byte {candidate}"
+            message = f"invalid frame at byte {offset} before a valid frame at byte {candidate}"
             raise DamagedFileError(message)
         candidate = content.find(MAGIC, candidate + 1)
     return ScannedFrames(payloads, offset)
--- a/src/crowsill/storage/journal.py
+++ b/src/crowsill/storage/journal.py
@@ -1,8 +1,9 @@
 """The durable consensus state: term and vote, log entries, and the last snapshot.
 
-Two files. `journal` is appended to, one frame for each sync. `snapshot` is replaced as a whole;
-after it the journal is rewritten without the entries it covers. A crash between the two leaves a
-journal that merely repeats covered entries, which recovery skips.
+The state is stored in two files. `journal` is append-only, with one frame for each sync. `snapshot`
+is replaced atomically; then the journal is rewritten without the entries that the snapshot covers.
+After a crash between these two steps the journal still contains covered entries, which recovery
+skips.
 """
 
 import os
@@ -24,12 +25,12 @@
 
 
 class JournalRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What one sync made durable.
+    """The changes that one sync makes durable.
 
     Attributes:
-        hard_state: New term and vote, if changed.
-        truncate_from: Entries from this index on were removed first, if set.
-        entries: Entries appended after that.
+        hard_state: New term and vote; None if unchanged.
+        truncate_from: Index from which on entries are removed first; None if none are removed.
+        entries: Entries that are appended after the removal.
     """
 
     hard_state: HardState | None
@@ -48,13 +49,13 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """What a restart finds on disk.
+    """The state that a member finds on disk when it starts.
 
     Attributes:
         hard_state: Term and vote.
         log: Entries after the snapshot.
-        snapshot: The last snapshot, if any.
-        cut_bytes: Length of the torn tail that was cut.
+        snapshot: The last snapshot; None if there is none.
+        cut_bytes: Length of the torn tail that was truncated, in bytes.
     """
 
     hard_state: HardState
@@ -65,12 +66,15 @@
     @property
     def is_empty(self) -> bool:
         """Whether the member has never stored anything."""
-        blank_state = self.hard_state == HardState() and self.snapshot is None
-        return blank_state and self.log.last_index == 0
+        is_initial = self.hard_state == HardState() and self.snapshot is None
+        return is_initial and self.log.last_index == 0
 
 
 class Journal:
-    """The open journal of one member. Its methods block; call them off the event loop."""
+    """The open journal of one member.
+
+    Its methods block and must be called outside the event loop.
+    """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -82,14 +86,14 @@
 
     @property
     def size_bytes(self) -> int:
-        """Length of the journal file."""
+        """Length of the journal file in bytes."""
         return self._size_bytes
 
     def recover(self) -> RecoveredState:
-        """Read what is on disk, cut a torn tail and open the journal for appending.
+        """Read the stored state, truncate a torn tail and open the journal for appending.
 
         Raises:
-            DamagedFileError: The journal or snapshot is damaged where it had been synced.
+            DamagedFileError: The journal or snapshot is damaged in a part that had been synced.
         """
         snapshot = self._read_snapshot()
         log = RaftLog() if snapshot is None else RaftLog(snapshot.index, snapshot.term)
@@ -123,7 +127,7 @@
         self._size_bytes = valid_bytes
 
     def save(self, ready: Ready) -> None:
-        """Make the durable effects of one `Ready` durable, with one sync."""
+        """Store the state changes of one `Ready` durably, with one sync of the journal."""
         if ready.snapshot is not None:
             if ready.hard_state is not None:
                 self._hard_state = ready.hard_state
@@ -135,7 +139,7 @@
         self._append(encode_frame(msgspec.msgpack.encode(record)))
 
     def _append(self, frame: bytes) -> None:
-        # At a fixed place, so that a write that failed half-way is simply repeated.
+        # Writes at a fixed offset, so that a repetition after a partial write overwrites it.
         written = 0
         while written < len(frame):
             written += os.pwrite(self._descriptor, frame[written:], self._size_bytes + written)
@@ -143,11 +147,11 @@
         self._size_bytes += len(frame)
 
     def save_snapshot(self, snapshot: Snapshot, remaining: list[LogEntry]) -> None:
-        """Replace the snapshot and rewrite the journal behind it.
+        """Replace the snapshot and rewrite the journal.
 
         Args:
             snapshot: The new snapshot.
-            remaining: Durable entries after it.
+            remaining: Durable entries after the snapshot.
         """
         record = SnapshotRecord(snapshot.index, snapshot.term, snapshot.membership, snapshot.data)
         replace_file(self._snapshot_path, encode_frame(msgspec.msgpack.encode(record)))
@@ -160,7 +164,7 @@
         self._size_bytes = len(content)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the journal file."""
         os.close(self._descriptor)
 
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Durable files."""
+"""Recovery of the journal and the snapshot, and locking of the data folder."""
 
 import subprocess
 import sys
@@ -24,22 +24,22 @@
     return journal, journal.recover()
 
 
-def written(folder):
+def write_journal(folder):
     journal, _ = open_journal(folder)
     journal.save(Ready(hard_state=HardState(1, "a"), entries=[entry(1), entry(2)]))
     journal.save(Ready(hard_state=HardState(2, None), truncate_from=2, entries=[entry(2, 2)]))
     journal.close()
 
 
-def test_recovers_what_was_synced(tmp_path):
-    written(tmp_path)
+def test_synced_state_is_recovered(tmp_path):
+    write_journal(tmp_path)
     _, state = open_journal(tmp_path)
     assert state.hard_state == HardState(2, None)
     assert (state.log.last_index, state.log.last_term) == (2, 2)
 
 
-def test_a_torn_tail_is_cut(tmp_path):
-    written(tmp_path)
+def test_a_torn_tail_is_truncated(tmp_path):
+    write_journal(tmp_path)
     path = tmp_path / "journal"
     path.write_bytes(path.read_bytes()[:-3])
     journal, state = open_journal(tmp_path)
@@ -49,8 +49,8 @@
     assert open_journal(tmp_path)[1].log.last_index == 3
 
 
-def test_damage_before_the_end_is_refused(tmp_path):
-    written(tmp_path)
+def test_damage_before_the_end_is_rejected(tmp_path):
+    write_journal(tmp_path)
     path = tmp_path / "journal"
     content = bytearray(path.read_bytes())
     content[14] ^= 1
@@ -74,22 +74,22 @@
 def test_a_crash_between_snapshot_and_journal_loses_nothing(tmp_path):
     journal, _ = open_journal(tmp_path)
     journal.save(Ready(hard_state=HardState(3, "b"), entries=[entry(1), entry(2), entry(3)]))
-    old = (tmp_path / "journal").read_bytes()
+    old_journal = (tmp_path / "journal").read_bytes()
     journal.save_snapshot(Snapshot(2, 1, Membership(), b"state"), [entry(3)])
     journal.close()
-    (tmp_path / "journal").write_bytes(old)
+    (tmp_path / "journal").write_bytes(old_journal)
     _, state = open_journal(tmp_path)
     assert (state.log.snapshot_index, state.log.last_index) == (2, 3)
 
 
 @given(strategies.lists(strategies.binary(max_size=40), max_size=5), strategies.integers(0, 300))
-def test_any_cut_leaves_a_prefix(payloads, cut):
+def test_truncation_anywhere_leaves_a_prefix_of_the_frames(payloads, cut):
     content = b"".join(encode_frame(payload) for payload in payloads)
-    kept = scan_frames(content[:cut]).payloads
-    assert kept == payloads[: len(kept)]
+    recovered = scan_frames(content[:cut]).payloads
+    assert recovered == payloads[: len(recovered)]
 
 
-def test_one_process_and_one_identity_a_folder(tmp_path):
+def test_a_folder_has_one_process_and_one_identity(tmp_path):
     first = open_data_folder(tmp_path, "a").unwrap()
     code = (
         "import sys; from pathlib import Path;"
@@ -106,7 +106,7 @@
     assert not isinstance(open_data_folder(tmp_path, "b"), Success)
 
 
-def test_an_emptied_folder_gets_another_identity(tmp_path):
+def test_different_folders_get_different_identities(tmp_path):
     first = open_data_folder(tmp_path / "one", "a").unwrap()
     second = open_data_folder(tmp_path / "two", "a").unwrap()
     assert first.identity != second.identity
