--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -36,9 +36,9 @@
 
 TOKEN = "secret"
 NO_LIMITS = TenantLimits()
-NOT_RUN = CallFailure(Outcome.NOT_RUN, FailureReason.UNREACHABLE)
+UNREACHABLE = CallFailure(Outcome.NOT_RUN, FailureReason.UNREACHABLE)
 FULL = CallFailure(Outcome.NOT_RUN, FailureReason.FULL)
-BROKEN = CallFailure(Outcome.UNKNOWN, FailureReason.CONNECTION_LOST)
+CONNECTION_LOST = CallFailure(Outcome.UNKNOWN, FailureReason.CONNECTION_LOST)
 
 
 def configuration(limits=NO_LIMITS):
@@ -94,7 +94,11 @@
 
     async def resume(self, replica_description, request_id, offset, timeout_s):
         self.offsets.append(offset)
-        return Success(ScriptedResponse(self.resumes.pop(0))) if self.resumes else Failure(BROKEN)
+        return (
+            Success(ScriptedResponse(self.resumes.pop(0)))
+            if self.resumes
+            else Failure(CONNECTION_LOST)
+        )
 
     async def cancel(self, replica_description, request_id):
         self.cancelled.append(request_id)
@@ -153,14 +157,14 @@
 
 
 def test_a_safe_request_is_retried_at_another_replica():
-    calls = ScriptedCalls(BROKEN, [b"whole"])
+    calls = ScriptedCalls(CONNECTION_LOST, [b"whole"])
     result = asyncio.run(pipeline_with(calls).serve(incoming()))
     assert result.unwrap().body == b"whole"
     assert set(calls.sent) == {"a", "b"}
 
 
 def test_an_unsafe_request_that_may_have_run_is_never_sent_again():
-    calls = ScriptedCalls(BROKEN, [b"second"])
+    calls = ScriptedCalls(CONNECTION_LOST, [b"second"])
     submitter = LocalSubmitter()
 
     async def scenario():
@@ -176,7 +180,7 @@
 
 
 def test_an_unsafe_request_that_was_not_run_is_retried_and_its_response_is_replayed():
-    calls = ScriptedCalls(NOT_RUN, [b"paid"])
+    calls = ScriptedCalls(UNREACHABLE, [b"paid"])
     submitter = LocalSubmitter()
 
     async def scenario():
@@ -194,7 +198,7 @@
 
 def test_the_outcome_is_not_run_only_if_no_attempt_may_have_run():
     # The first attempt may have run, so rejections of later attempts don't make it `not_run`.
-    calls = ScriptedCalls(BROKEN, FULL, FULL, FULL)
+    calls = ScriptedCalls(CONNECTION_LOST, FULL, FULL, FULL)
     result = asyncio.run(pipeline_with(calls).serve(incoming()))
     assert result.failure().answer.outcome is Outcome.UNKNOWN
     calls = ScriptedCalls(FULL, FULL, FULL, FULL)
