--- a/src/crowsill/backends/http_calls.py
+++ b/src/crowsill/backends/http_calls.py
@@ -36,7 +36,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 CANCEL_TIMEOUT_S = 1.0
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 _REASONS = {reason.value: reason for reason in FailureReason}
 
 
@@ -182,7 +182,7 @@
         response.close()
         detail = f"response to another request: {response_id!r}"
         return Failure(CallFailure(Outcome.UNKNOWN, FailureReason.MISMATCHED, detail))
-    if response.status >= FIRST_SERVER_ERROR and not unsafe:
+    if response.status >= MIN_SERVER_ERROR_STATUS and not unsafe:
         response.close()
         detail = f"status {response.status}"
         return Failure(CallFailure(Outcome.UNKNOWN, FailureReason.FAILED, detail, backoff_s))
--- a/src/crowsill/backends/interface.py
+++ b/src/crowsill/backends/interface.py
@@ -92,7 +92,7 @@
     async def send(
         self, replica: ReplicaDescription, request: ClassifiedRequest, timeout_s: float
     ) -> Result[BackendResponse, CallFailure]:
-        """Send a request once and wait for the head of the answer."""
+        """Send a request once and wait for the head of the response."""
 
     async def resume(
         self, replica: ReplicaDescription, request_id: str, offset: int, timeout_s: float
--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -119,8 +119,8 @@
         except DamagedFileError as error:
             log_event(Event.LOG_DAMAGED, folder=self._folder.path, error=error)
             return Failure(f"data folder {self._folder.path}: {error}")
-        if recovered.cut_bytes:
-            log_event(Event.LOG_TAIL_CUT, bytes=recovered.cut_bytes)
+        if recovered.truncated_bytes:
+            log_event(Event.LOG_TAIL_CUT, bytes=recovered.truncated_bytes)
         return Success(recovered)
 
     async def start(self) -> Result[None, str]:
--- a/src/crowsill/storage/journal.py
+++ b/src/crowsill/storage/journal.py
@@ -55,13 +55,13 @@
         hard_state: Term and vote.
         log: Entries after the snapshot.
         snapshot: The last snapshot; None if there is none.
-        cut_bytes: Length of the torn tail that was truncated, in bytes.
+        truncated_bytes: Length of the torn tail that was truncated, in bytes.
     """
 
     hard_state: HardState
     log: RaftLog
     snapshot: Snapshot | None
-    cut_bytes: int
+    truncated_bytes: int
 
     @property
     def is_empty(self) -> bool:
@@ -107,8 +107,8 @@
             _replay(record, log)
         self._hard_state = hard_state
         self._open(scanned.valid_bytes)
-        cut_bytes = len(content) - scanned.valid_bytes
-        return RecoveredState(hard_state, log, snapshot, cut_bytes)
+        truncated_bytes = len(content) - scanned.valid_bytes
+        return RecoveredState(hard_state, log, snapshot, truncated_bytes)
 
     def _read_snapshot(self) -> Snapshot | None:
         if not self._snapshot_path.exists():
--- a/src/crowsill/transport/connection.py
+++ b/src/crowsill/transport/connection.py
@@ -109,7 +109,7 @@
         self._pending_replies[correlation_id] = future
         try:
             if not self._write(Frame(correlation_id, False, body)):
-                raise ConnectionLostError("the stream is closed")
+                raise ConnectionLostError("the stream is closed or its buffer is full")
             # Not `wait_for`: it loses a cancellation that coincides with the reply.
             async with asyncio.timeout(timeout_s):
                 return await future
--- a/src/crowsill/transport/membership_messages.py
+++ b/src/crowsill/transport/membership_messages.py
@@ -58,7 +58,7 @@
         voter: Whether it is a voter.
         leads: Whether it is the leader.
         behind: Number of committed entries that it has not stored durably.
-        silent_s: Seconds since its last response; 0 for the leader.
+        silent_s: Seconds since its last response; 0 for the leader, -1 if unknown.
         replaces: Voter that it replaces once it has caught up; empty if there is none.
     """
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -84,7 +84,7 @@
 
 
 class FakeEngine:
-    """Answers reports and orders, and counts the orders that it accepted."""
+    """Responds to reports and orders, and counts the orders that it accepted."""
 
     def __init__(self):
         self.accepted = 0
@@ -131,10 +131,10 @@
         assert [report.sequence for report in reports] == [0, 0]
         relay.silence(to_target, to_caller)
         order = EngineOrder(OrderKind.LOAD, "m0", "", 0, "n", 1)
-        answers = [await calls.order(instance, order) for _ in range(4)]
+        responses = [await calls.order(instance, order) for _ in range(4)]
         # Only a report on a new connection shows whether the first attempts arrived.
-        assert answers[0] is OrderResponse.UNKNOWN
-        assert answers[-1] in (OrderResponse.ACCEPTED, OrderResponse.CONFLICT)
+        assert responses[0] is OrderResponse.UNKNOWN
+        assert responses[-1] in (OrderResponse.ACCEPTED, OrderResponse.CONFLICT)
         assert (await calls.report(instance)).sequence == engine.accepted == 1
         relay.close()
         engine.stop()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -43,7 +43,7 @@
     path = tmp_path / "journal"
     path.write_bytes(path.read_bytes()[:-3])
     journal, state = open_journal(tmp_path)
-    assert state.hard_state == HardState(1, "a") and state.cut_bytes > 0
+    assert state.hard_state == HardState(1, "a") and state.truncated_bytes > 0
     journal.save(Ready(entries=[entry(3)]))
     journal.close()
     assert open_journal(tmp_path)[1].log.last_index == 3
