--- a/src/crowsill/control/role.py
+++ b/src/crowsill/control/role.py
@@ -119,8 +119,8 @@
         except DamagedFileError as error:
             log_event(Event.LOG_DAMAGED, folder=self._folder.path, error=error)
             return Failure(f"data folder {self._folder.path}: {error}")
-        if recovered.cut_bytes:
-            log_event(Event.LOG_TAIL_CUT, bytes=recovered.cut_bytes)
+        if recovered.truncated_bytes:
+            log_event(Event.LOG_TAIL_CUT, bytes=recovered.truncated_bytes)
         return Success(recovered)
 
     async def start(self) -> Result[None, str]:
@@ -137,7 +137,7 @@
             self._backends = HttpControl(self._control.platform_list)
         service = MemberService(
             self._local,
-            recovered.is_blank,
+            recovered.is_empty,
             self._subscribers,
             self._links,
             self._contacts,
@@ -170,7 +170,7 @@
         return Success(None)
 
     async def _run_member(self, recovered: RecoveredState, service: MemberService) -> None:
-        if recovered.is_blank:
+        if recovered.is_empty:
             membership = await self._agree_on_group()
             if membership is not None:
                 ready = first_state(membership)
@@ -261,7 +261,7 @@
 
     async def _follow_members(self, driver: ConsensusDriver) -> None:
         while True:
-            self._links.follow(driver.node.membership.members)
+            self._links.set_members(driver.node.membership.members)
             await asyncio.sleep(MEMBERS_POLL_INTERVAL_S)
 
     def _on_role(self, role: Role) -> None:
