--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -2,7 +2,7 @@
 
 The entry holds one stream to any control member. A heartbeat every `ENTRY_HEARTBEAT_INTERVAL_S`
 carries its revision and its demand. The reply, covered by the leader's lease, confirms the revision
-that is in effect. The entry is current for `ENTRY_FRESHNESS_S` after it sent a heartbeat that was confirmed.
+that is in effect. The entry is current for `ENTRY_FRESHNESS_S` after it sent a confirmed heartbeat.
 """
 
 import asyncio
