--- a/tests/test_repeated_heartbeats.py
+++ b/tests/test_repeated_heartbeats.py
@@ -11,7 +11,7 @@
 
 sys.path.insert(0, str(ROOT / "platform"))
 
-from crowsill_platform.heartbeats import LONGEST_REPEATED_BYTES, read_heartbeat, read_unknown
+from crowsill_platform.heartbeats import MAX_CACHED_HEARTBEAT_BYTES, read_heartbeat, read_uncached
 
 FIELDS = (
     '"service":"s","addr":"10.0.0.1:80","zone":"z","version":"1","slots":4,"state":"ready",'
@@ -47,11 +47,11 @@
         filled = ",".join(member.replace("%s", number) for member in members)
         parts = [filled, FIELDS] if begins_with else [FIELDS, filled]
         body = ("{" + ",".join(part for part in parts if part) + "}").encode()
-        assert read_heartbeat("i-1", body) == read_unknown("i-1", body)
+        assert read_heartbeat("i-1", body) == read_uncached("i-1", body)
 
 
 def test_long_heartbeats_are_parsed():
-    names = [f"model-{number:04}" for number in range(LONGEST_REPEATED_BYTES // 8)]
+    names = [f"model-{number:04}" for number in range(MAX_CACHED_HEARTBEAT_BYTES // 8)]
     for sequence in (1, 2):
         more = f',"seq":{sequence},"atHand":{{"onDisk":{msgspec.json.encode(names).decode()}}}'
         found = read_heartbeat("i-1", ("{" + FIELDS + more + "}").encode())
