--- a/src/crowsill_lab/bench/cut.py
+++ b/src/crowsill_lab/bench/cut.py
@@ -28,7 +28,7 @@
 from crowsill_lab.bench.operator_http import fetch_operator
 from crowsill_lab.bench.site import bench_deployment
 from crowsill_lab.demo.site import Site
-from crowsill_lab.relay import SilentRelay
+from crowsill_lab.relay import PartitioningRelay
 from crowsill_lab.settings import EngineShape, ServiceShape
 
 
@@ -93,7 +93,7 @@
 
 
 async def _cut(site: Site, seconds: float) -> CutFigures:
-    relay = SilentRelay()
+    relay = PartitioningRelay()
     for index in range(3):
         await relay.listen(site.control_ports[index], f"control-{index}", site.listen_ports[index])
     old = await leader_index(site)
@@ -105,12 +105,12 @@
         _probe_old_leader(site, site.listen_ports[old], proofs_s, commits_s)
     )
     await wait_until(lambda: len(proofs_s) > 10 and len(commits_s) > 10)
-    relay.cut = {f"control-{old}"}
+    relay.partitioned = {f"control-{old}"}
     cut_s = time.monotonic()
     first_new_s = await _first_commit_s(site, others)
     await asyncio.sleep(seconds)
     probe.cancel()
-    relay.cut = set()
+    relay.partitioned = set()
     equal = await _wait_equal(site)
     relay.close()
     in_flight_s = 0.05  # What was committed just before the cut may be reported just after it.
--- a/src/crowsill_lab/main.py
+++ b/src/crowsill_lab/main.py
@@ -1,4 +1,4 @@
-"""The command `crowsill-lab`: emulated back ends and the demonstration. Never deployed."""
+"""The command `crowsill-lab`: emulated back ends, tests and reports. Never deployed."""
 
 from pathlib import Path
 
@@ -25,7 +25,7 @@
 
 @application.callback()
 def _configure() -> None:
-    """Emulated back ends, load, measurements and the demonstration."""
+    """Emulated back ends, load, benchmarks, soaks and the demonstration."""
     configure_logs("lab", "ERROR")
 
 
@@ -67,7 +67,7 @@
     seed: int = 1,
     folder: Path = Path("demo-run"),
 ) -> None:
-    """Run a whole deployment under load, with stops and a kill, and check every promise."""
+    """Run a complete deployment under load, stop and kill processes, and check all guarantees."""
     from crowsill_lab.demo.runner import run_demo
 
     raise typer.Exit(run_demo(deployment, seconds, seed, folder))
@@ -75,7 +75,7 @@
 
 @application.command()
 def tries(logs: list[Path]) -> None:
-    """Show from saved logs of gateways how callers fared, on first tries and on later ones."""
+    """Report the outcomes of first tries and retries from saved logs of gateways."""
     from crowsill_lab.report import plot, read_tries, table
 
     texts = [path.read_text(encoding="utf-8", errors="replace") for path in logs]
@@ -86,14 +86,14 @@
 
 @application.command()
 def explain_day(logs: list[Path]) -> None:
-    """Show from saved logs of gateways what callers lost, why, and what they were told."""
+    """Report lost requests, their causes and `Retry-After` times from saved logs of gateways."""
     from crowsill_lab.explain_day import losses_of, plot, read_tries, table
-    from crowsill_lab.return_times import return_times, told_table
+    from crowsill_lab.return_times import retry_table, return_times
 
     found = read_tries([path.read_text(encoding="utf-8", errors="replace") for path in logs])
     losses = losses_of(found)
     typer.echo(table(losses))
-    typer.echo(told_table(return_times(found)))
+    typer.echo(retry_table(return_times(found)))
     typer.echo(plot(losses))
 
 
@@ -110,14 +110,14 @@
     limits: bool = True,
     folder: Path = Path("soak-run"),
 ) -> None:
-    """Run the real programs under faults from outside and check every promise, seed after seed."""
+    """Run the real programs under external faults and check all guarantees, for each seed."""
     from crowsill_lab.soak.runner import SoakPlan, run_soak
 
     broken = 0
     for number in range(seed, seed + seeds):
         run_folder = folder / str(number)
         if run_folder.exists() and any(run_folder.iterdir()):
-            # A former run's disks hold a group at other addresses, which never forms again.
+            # Data of a previous run holds a group at other addresses, which cannot form again.
             raise typer.BadParameter(f"{run_folder} is not empty")
         plan = SoakPlan(
             number, minutes * 60.0, members, gateways, run_folder, pointers, signals, limits
@@ -131,7 +131,7 @@
 
 @application.command()
 def reference(folder: Path = Path("docs")) -> None:
-    """Write the reference pages of errors and log events."""
+    """Write the reference pages of errors, log events and metrics."""
     write_pages(folder)
 
 
--- a/src/crowsill_lab/reference.py
+++ b/src/crowsill_lab/reference.py
@@ -1,4 +1,4 @@
-"""Renders the reference pages docs/ERRORS.md and docs/EVENTS.md from the code."""
+"""Renders the reference pages docs/ERRORS.md, docs/EVENTS.md and docs/METRICS.md from the code."""
 
 from pathlib import Path
 
@@ -44,7 +44,7 @@
 
 
 def errors_page() -> str:
-    """Return docs/ERRORS.md."""
+    """Return the text of docs/ERRORS.md."""
     rows = []
     for kind, answer in ERROR_ANSWERS.items():
         retryable = "yes" if answer.retryable else "no"
@@ -54,7 +54,7 @@
 
 
 def events_page() -> str:
-    """Return docs/EVENTS.md."""
+    """Return the text of docs/EVENTS.md."""
     rows = [
         f"| {event.value.number} | `{event.name.lower()}` | {event.value.level} "
         f"| {event.value.meaning} |"
@@ -64,7 +64,7 @@
 
 
 def metrics_page() -> str:
-    """Return docs/METRICS.md."""
+    """Return the text of docs/METRICS.md."""
     rows = []
     for family in REGISTRY.collect():
         shown = ", ".join(LABELS.get(family.name, ()))
@@ -73,7 +73,7 @@
 
 
 def write_pages(folder: Path) -> None:
-    """Write all pages."""
+    """Write all reference pages to a folder."""
     (folder / "ERRORS.md").write_text(errors_page(), encoding="utf-8")
     (folder / "METRICS.md").write_text(metrics_page(), encoding="utf-8")
     (folder / "EVENTS.md").write_text(events_page(), encoding="utf-8")
--- a/src/crowsill_lab/relay.py
+++ b/src/crowsill_lab/relay.py
@@ -1,8 +1,9 @@
-"""TCP relays that misbehave as a network does, and close nothing.
+"""TCP relays that emulate network faults without closing connections.
 
-`SilentRelay` stands before one control member, learns who connects from the first frame, and can
-cut members off in both directions: what they send waits. `SilencingRelay` stands before any
-listener; the connections that are open then can go silent for good, while new ones work.
+`PartitioningRelay` relays streams between control members, reads the connecting member's name from
+the first frame, and can partition members: it delays their data in both directions.
+`SilencingRelay` relays connections to any listener; it can discard all further data of open
+connections, while new connections work.
 """
 
 import asyncio
@@ -19,11 +20,15 @@
 POLL_S = 0.02
 
 
-class SilentRelay:
-    """Relays streams to one target each; `cut` names the members that are cut off."""
+class PartitioningRelay:
+    """Relays streams to control members.
+
+    Attributes:
+        partitioned: Names of the members whose streams are delayed.
+    """
 
     def __init__(self) -> None:
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self._servers: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -31,9 +36,9 @@
         """Relay a loopback port to a member.
 
         Args:
-            port: Where to listen.
-            target: Name of the member behind it.
-            target_port: The member's own port.
+            port: Port to listen on.
+            target: Name of the member behind the relay.
+            target_port: Port on which the member listens.
         """
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -55,19 +60,19 @@
         payload = await reader.readexactly(_LENGTH.unpack(header)[0])
         body = msgspec.msgpack.decode(payload, type=Frame).body
         source = body.node if isinstance(body, Hello) else ""
-        ends = {source, target}
-        onward_reader, onward_writer = await asyncio.open_connection("127.0.0.1", target_port)
-        onward_writer.write(header + payload)
+        members = {source, target}
+        target_reader, target_writer = await asyncio.open_connection("127.0.0.1", target_port)
+        target_writer.write(header + payload)
         await asyncio.gather(
-            self._pump(reader, onward_writer, ends), self._pump(onward_reader, writer, ends)
+            self._pump(reader, target_writer, members), self._pump(target_reader, writer, members)
         )
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ends: set[str]
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, members: set[str]
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
-                while self.cut & ends:
+                while self.partitioned & members:
                     await asyncio.sleep(POLL_S)
                 writer.write(data)
                 await writer.drain()
@@ -81,8 +86,8 @@
 
 
 @dataclass(slots=True)
-class _Relayed:
-    """One relayed connection; what goes in a silent direction is swallowed."""
+class _RelayedConnection:
+    """One relayed connection; data in a silent direction is discarded."""
 
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
     to_target_is_silent: bool = False
@@ -90,14 +95,14 @@
 
 
 class SilencingRelay:
-    """Relays connections to one target; those that are open can go silent for good.
+    """Relays connections to one target; open connections can become silent permanently.
 
-    Nothing is closed and bytes are taken as before, so that only an answer that fails to come shows
-    it. New connections work.
+    A silent connection stays open and its data is still read, so only a missing response shows the
+    fault. New connections work.
     """
 
     def __init__(self) -> None:
-        self._open: list[_Relayed] = []
+        self._connections: list[_RelayedConnection] = []
         self._server: asyncio.Server | None = None
 
     async def listen(self, port: int, target_port: int) -> None:
@@ -105,34 +110,38 @@
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
-                onward = await asyncio.open_connection("127.0.0.1", target_port)
+                upstream = await asyncio.open_connection("127.0.0.1", target_port)
             except OSError:
                 writer.close()
                 return
-            relayed = _Relayed((writer, onward[1]))
-            self._open.append(relayed)
+            connection = _RelayedConnection((writer, upstream[1]))
+            self._connections.append(connection)
             try:
                 await asyncio.gather(
-                    _swallowing_pump(reader, onward[1], lambda: relayed.to_target_is_silent),
-                    _swallowing_pump(onward[0], writer, lambda: relayed.to_caller_is_silent),
+                    _pump_unless_silent(
+                        reader, upstream[1], lambda: connection.to_target_is_silent
+                    ),
+                    _pump_unless_silent(
+                        upstream[0], writer, lambda: connection.to_caller_is_silent
+                    ),
                 )
             except asyncio.CancelledError:
-                # The event loop ends.
+                # The event loop shuts down.
                 writer.close()
-            self._open.remove(relayed)
+            self._connections.remove(connection)
 
         self._server = await asyncio.start_server(accept, "127.0.0.1", port)
 
     def silence(self, to_target: bool, to_caller: bool) -> None:
-        """Silence all connections that are open, in one direction or both."""
-        for relayed in self._open:
-            relayed.to_target_is_silent = to_target
-            relayed.to_caller_is_silent = to_caller
+        """Discard all further data of the open connections, in one direction or both."""
+        for connection in self._connections:
+            connection.to_target_is_silent = to_target
+            connection.to_caller_is_silent = to_caller
 
     def reset(self) -> None:
-        """Break off all connections that are open."""
-        for relayed in self._open:
-            for writer in relayed.writers:
+        """Reset all open connections."""
+        for connection in self._connections:
+            for writer in connection.writers:
                 writer.transport.abort()
 
     def close(self) -> None:
@@ -141,7 +150,7 @@
             self._server.close()
 
 
-async def _swallowing_pump(
+async def _pump_unless_silent(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_silent: Callable[[], bool]
 ) -> None:
     try:
--- a/src/crowsill_lab/settings.py
+++ b/src/crowsill_lab/settings.py
@@ -1,4 +1,4 @@
-"""The lab's description of a deployment's back ends and load, in TOML."""
+"""Settings of the lab: the back ends and the load of a deployment, in TOML."""
 
 from pathlib import Path
 
@@ -10,14 +10,14 @@
 
     Attributes:
         pool: Pool name.
-        memory_mib: Accelerator memory of each.
-        slots: Sequences in one batch.
-        zones: Site of each engine; one engine an item.
-        step_base_ms: Time of a decoding step with an empty batch.
-        step_per_sequence_ms: Time each running sequence adds to a step.
-        prefill_ms_per_100_bytes: Time of an uncached prompt.
-        prefix_cache_entries: Prompt starts the cache holds.
-        checks_fence: Whether older orders are refused.
+        memory_mib: Accelerator memory of each engine.
+        slots: Maximum number of sequences in a batch.
+        zones: Zone of each engine; the list has one item for each engine.
+        step_base_ms: Duration of a decoding step with an empty batch.
+        step_per_sequence_ms: Time that each running sequence adds to a step.
+        prefill_ms_per_100_bytes: Prefill time of an uncached prompt.
+        prefix_cache_entries: Capacity of the prefix cache.
+        checks_fence: Whether the engines reject orders with an older fence.
     """
 
     pool: str
@@ -36,9 +36,9 @@
 
     Attributes:
         pool: Pool name.
-        slots: Calls at once.
-        zones: Site of each replica.
-        mean_ms: Mean time of a call, exponentially distributed.
+        slots: Maximum number of concurrent calls.
+        zones: Zone of each replica; the list has one item for each replica.
+        mean_ms: Mean duration of a call; durations are exponentially distributed.
     """
 
     pool: str
@@ -48,7 +48,13 @@
 
 
 class StoreShape(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The weight store."""
+    """The weight store.
+
+    Attributes:
+        loads_per_s: Maximum rate of loads.
+        concurrent: Maximum number of concurrent loads.
+        mib_per_s: Transfer rate of a load.
+    """
 
     loads_per_s: float
     concurrent: int
@@ -59,21 +65,21 @@
     """One kind of load.
 
     Attributes:
-        name: Row of the report.
-        tenant: Tenant whose token is used.
+        name: Name of its row in the report.
+        tenant: Tenant whose token the requests carry.
         requests_per_s: Mean rate outside bursts.
-        models: Models asked for, with a Zipf-like preference for the first; empty for a service.
-        service: Service asked for; empty for models.
+        models: Requested models, in Zipf-like order of popularity; empty for a service.
+        service: Requested service; empty for models.
         path: Path within the service.
-        unsafe: Whether calls carry an idempotency key.
-        streamed: Whether answers are streamed.
-        tokens: Mean tokens of an answer.
-        prompt_bytes: Size of a prompt.
-        target_ms: Time to the first byte that counts as attained.
-        burst_factor: Rate during a burst over the mean rate.
+        unsafe: Whether calls are not idempotent and carry an idempotency key.
+        streamed: Whether responses are streamed.
+        tokens: Mean number of tokens of a response.
+        prompt_bytes: Size of the shared start of a prompt.
+        target_ms: Maximum time to the first byte of a response that attains the target.
+        burst_factor: Ratio of the rate during a burst to `requests_per_s`.
         burst_every_s: Time between the starts of bursts; 0 for none.
         burst_s: Length of a burst.
-        resend_ratio: Share of unsafe calls that are sent twice on purpose.
+        resend_ratio: Share of unsafe calls that are deliberately sent twice.
     """
 
     name: str
@@ -97,17 +103,17 @@
     """Back ends and load of one deployment.
 
     Attributes:
-        zones: Sites; control members and entries are spread over them.
+        zones: Zones; control members and entries are spread over them.
         entries: Number of entries.
         control_members: Number of control members.
-        tokens: Bearer token by tenant, for the load.
+        tokens: Bearer token of each tenant, for the load.
         configuration: Folder of templates and parameters, relative to this file.
         engines: Pools of engines.
         services: Pools of services.
-        store: The weight store.
+        store: Properties of the weight store.
         traffic: Kinds of load.
-        platform_lag_s: Lag of the list of machines.
-        report_lag_s: Lag of load reports.
+        platform_lag_s: Delay with which the list of machines shows changes.
+        report_lag_s: Delay of load reports.
     """
 
     zones: list[str]
--- a/tests/test_explain_day.py
+++ b/tests/test_explain_day.py
@@ -1,9 +1,9 @@
-"""What callers lost on a day and why, from saved logs."""
+"""Reports of lost requests and their causes from saved logs."""
 
 import pytest
 
 from crowsill_lab.explain_day import Cause, losses_of, plot, read_tries, table
-from crowsill_lab.return_times import ToldTime, return_times, told_table
+from crowsill_lab.return_times import RetryTime, retry_table, return_times
 
 AT = "2026-01-02T03:04:0{second}.678Z INFO"
 
@@ -22,8 +22,8 @@
 
 def finished(request, **more):
     fields = {"status": 200, "late": True, "first_ms": 900.0, "gap_ms": 10.0, "ms": 950.0, **more}
-    words = " ".join(f"{name}={value}" for name, value in fields.items())
-    return f"E202 request_finished request={request} route=r {words}"
+    log_fields = " ".join(f"{name}={value}" for name, value in fields.items())
+    return f"E202 request_finished request={request} route=r {log_fields}"
 
 
 def refused(request, kind, detail=""):
@@ -33,24 +33,24 @@
 @pytest.mark.parametrize(
     ("texts", "cause"),
     [
-        ([refused("a", "no_replica", "no replica holds the model yet")], Cause.MODEL),
-        ([refused("a", "overloaded", "every replica is full: status 503")], Cause.FULL),
+        ([refused("a", "no_replica", "no replica holds the model yet")], Cause.MODEL_MISSING),
+        ([refused("a", "overloaded", "every replica is full: status 503")], Cause.REPLICAS_FULL),
         (
             [refused("a", "overloaded", "every replica that could run it asked for rest: i-1")],
-            Cause.RESTING,
+            Cause.BACKING_OFF,
         ),
-        ([refused("a", "rate_limited")], Cause.TENANT),
-        ([refused("a", "quarantined", "replicas ended")], Cause.HELD_BACK),
+        ([refused("a", "rate_limited")], Cause.TENANT_REJECTED),
+        ([refused("a", "quarantined", "replicas ended")], Cause.QUARANTINED),
         ([refused("a", "overloaded", "not sent in time")], Cause.NOT_SENT),
-        ([routed("a"), refused("a", "deadline_exceeded", "no answer in time")], Cause.NO_ANSWER),
-        ([routed("a"), refused("a", "answer_cut", "reset")], Cause.BROKEN),
+        ([routed("a"), refused("a", "deadline_exceeded", "no answer in time")], Cause.NO_RESPONSE),
+        ([routed("a"), refused("a", "answer_cut", "reset")], Cause.REPLICA_FAILED),
         ([refused("a", "payload_too_large")], Cause.OTHER),
-        (["E209 caller_left request=a"], Cause.LEFT_WAITING),
-        ([routed("a"), "E209 caller_left request=a"], Cause.LEFT_RUNNING),
-        ([routed("a", ms=700.0), finished("a")], Cause.LATE_HELD),
-        ([routed("a"), finished("a")], Cause.LATE_FIRST),
+        (["E209 caller_left request=a"], Cause.CANCELLED_WAITING),
+        ([routed("a"), "E209 caller_left request=a"], Cause.CANCELLED_RUNNING),
+        ([routed("a", ms=700.0), finished("a")], Cause.LATE_WAITING),
+        ([routed("a"), finished("a")], Cause.LATE_START),
         ([routed("a"), finished("a", first_ms=50.0, gap_ms=600.0)], Cause.LATE_PAUSE),
-        ([routed("a"), finished("a", status=500)], Cause.BROKEN),
+        ([routed("a"), finished("a", status=500)], Cause.REPLICA_FAILED),
     ],
 )
 def test_each_try_that_did_not_end_in_time_has_one_cause(texts, cause):
@@ -59,14 +59,14 @@
     assert sum(losses.tries.values()) == 1
 
 
-def test_what_ended_in_time_or_has_no_end_is_no_loss():
+def test_tries_that_end_in_time_or_have_no_end_are_not_lost():
     texts = [routed("a"), finished("a", late=False), routed("b")]
     losses = losses_of_texts(["\n".join(line(1, text) for text in texts)])
     assert not losses.by_cause and losses.tries == {"r": 1}
     assert plot(losses) == "nothing was lost"
 
 
-def test_losses_are_shown_by_cause_route_model_replica_and_second():
+def test_lost_tries_are_reported_by_cause_route_model_replica_and_second():
     texts = [
         line(1, routed("a")),
         line(2, finished("a")),
@@ -87,31 +87,36 @@
     ]
 
 
-def told(request, after_s):
+def rejected_with_retry_after(request, after_s):
     refusal = refused(request, "overloaded", "every replica is full")
     return f"{refusal} resource=m retry_after_s={after_s}"
 
 
-def test_what_refused_callers_are_told_is_held_against_when_their_like_was_served():
-    # The answer that ends at 4.678 s was sent to its replica 0.949 s before.
+def test_retry_after_is_compared_with_when_a_similar_request_was_served():
+    # The request whose response ends at 4.678 s was sent to its replica 0.949 s earlier.
     texts = [
-        line(1, told("a", 0.5)),
-        line(1, told("b", 3.0)),
+        line(1, rejected_with_retry_after("a", 0.5)),
+        line(1, rejected_with_retry_after("b", 3.0)),
         line(4, routed("c")),
         line(4, finished("c")),
-        line(5, told("d", 1.0)),
+        line(5, rejected_with_retry_after("d", 1.0)),
         line(5, refused("e", "unauthenticated")),
     ]
     found = return_times(read_tries(["\n".join(texts)]))
-    assert [(item.cause, item.told_s) for item in found] == [
-        (Cause.FULL, 0.5),
-        (Cause.FULL, 3.0),
-        (Cause.FULL, 1.0),
+    assert [(item.cause, item.retry_after_s) for item in found] == [
+        (Cause.REPLICAS_FULL, 0.5),
+        (Cause.REPLICAS_FULL, 3.0),
+        (Cause.REPLICAS_FULL, 1.0),
     ]
-    assert [round(item.served_s, 3) for item in found] == [2.051, 2.051, float("inf")]
+    assert [round(item.served_after_s, 3) for item in found] == [2.051, 2.051, float("inf")]
 
 
-def test_too_early_and_kept_away_are_counted():
+def test_too_early_and_too_late_retry_times_are_counted():
     times = [(0.5, 2.0), (3.5, 2.0), (2.5, 2.0), (1.0, float("inf"))]
-    shown = told_table([ToldTime(Cause.FULL, told_s, served_s) for told_s, served_s in times])
+    shown = retry_table(
+        [
+            RetryTime(Cause.REPLICAS_FULL, retry_after_s, served_after_s)
+            for retry_after_s, served_after_s in times
+        ]
+    )
     assert shown.splitlines()[1].split()[-6:] == ["4", "1.75", "2.00", "0.500", "0.250", "0.250"]
--- a/tests/test_tries_report.py
+++ b/tests/test_tries_report.py
@@ -1,4 +1,4 @@
-"""The table of how callers fared, from saved logs."""
+"""The report of request outcomes from saved logs."""
 
 from crowsill_lab.report import plot, read_tries, table
 
@@ -17,7 +17,7 @@
 """
 
 
-def test_tries_are_counted_by_their_first_end():
+def test_a_try_counts_by_the_first_line_that_ends_it():
     found = read_tries([LOG])
     lines = table(found).splitlines()
     first = ["r1,", "first", "5", "0.200", "0.200", "0.200", "0.000", "0.200", "0.200"]
@@ -25,5 +25,5 @@
     assert lines[2].split()[:3] == ["r1,", "later", "1"]
 
 
-def test_waits_in_vain_of_first_tries_are_plotted():
+def test_waits_of_rejected_first_tries_are_plotted():
     assert "up to  2.00 s      1 ########" in plot(read_tries([LOG]))
