--- a/src/crowsill/backends/http_control.py
+++ b/src/crowsill/backends/http_control.py
@@ -27,7 +27,7 @@
     """Implements `EnginePort` and `PlatformPort`."""
 
     def __init__(self, platform_list: str) -> None:
-        """Make an adapter.
+        """Create an adapter.
 
         Args:
             platform_list: `IP:port` of the service that serves the platform's list of machines.
--- a/src/crowsill/storage/journal.py
+++ b/src/crowsill/storage/journal.py
@@ -114,7 +114,7 @@
         if not self._snapshot_path.exists():
             return None
         payloads = scan_frames(self._snapshot_path.read_bytes()).payloads
-        require(len(payloads) == 1, f"{self._snapshot_path} holds one valid snapshot")
+        require(len(payloads) == 1, f"{self._snapshot_path} contains one valid snapshot")
         record = msgspec.msgpack.decode(payloads[0], type=SnapshotRecord)
         return Snapshot(record.index, record.term, record.membership, record.data)
 
--- a/src/crowsill/transport/leader_client.py
+++ b/src/crowsill/transport/leader_client.py
@@ -45,7 +45,7 @@
     """Locates the leader and keeps streams to the members that it has queried."""
 
     def __init__(self, local: LocalIdentity, members: list[Address], random: Random) -> None:
-        """Make a client.
+        """Create a client.
 
         Args:
             local: Identity for the handshake.
--- a/src/crowsill/transport/stream.py
+++ b/src/crowsill/transport/stream.py
@@ -63,7 +63,7 @@
 def load_cluster_key(file_name: str | Path) -> Result[bytes, str]:
     """Derive the shared key from a file of at least 16 bytes.
 
-    Without a file all processes use the same public key. The handshake then only distinguishes
+    Without a file all processes use the same well-known key. The handshake then only distinguishes
     crowsill's processes from others, and the network must block access by strangers.
     """
     if not str(file_name):
@@ -74,7 +74,7 @@
     except OSError as error:
         return Failure(f"cluster_key_file: {error}")
     if len(content) < 16:
-        return Failure(f"cluster_key_file: {path} holds fewer than 16 bytes")
+        return Failure(f"cluster_key_file: {path} contains fewer than 16 bytes")
     return Success(hashlib.sha256(content).digest())
 
 
