--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -1,8 +1,8 @@
 """Keeps an entry up to date with the control group: configuration, fleet view and freshness.
 
-The entry holds one stream to any control member. A heartbeat every `ENTRY_HEARTBEAT_S` carries its
-revision and its demand. The reply, covered by the leader's lease, confirms the revision that is in
-effect. The entry is current for `ENTRY_FRESHNESS_S` after it sent a heartbeat that was confirmed.
+The entry holds one stream to any control member. A heartbeat every `ENTRY_HEARTBEAT_INTERVAL_S`
+carries its revision and its demand. The reply, covered by the leader's lease, confirms the revision
+that is in effect. The entry is current for `ENTRY_FRESHNESS_S` after it sent a confirmed heartbeat.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from crowsill.clock import monotonic_s
 from crowsill.consensus.invariants import require
-from crowsill.constants import ENTRY_FRESHNESS_S, ENTRY_HEARTBEAT_S
+from crowsill.constants import ENTRY_FRESHNESS_S, ENTRY_HEARTBEAT_INTERVAL_S
 from crowsill.control.subscribers import DemandCounter
 from crowsill.events import Event
 from crowsill.logs import log_event
@@ -116,7 +116,7 @@
                 if not await self._heartbeat(connection):
                     return was_confirmed
                 was_confirmed = True
-                await asyncio.sleep(ENTRY_HEARTBEAT_S)
+                await asyncio.sleep(ENTRY_HEARTBEAT_INTERVAL_S)
             return was_confirmed
         finally:
             connection.close()
