--- a/src/crowsill/constants.py
+++ b/src/crowsill/constants.py
@@ -1,4 +1,4 @@
-"""Named constants shared by several modules, with their units in their names."""
+"""Constants shared by several modules; their names end with their units."""
 
 HEADER_REQUEST_ID = "X-Request-Id"
 HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
@@ -14,9 +14,9 @@
 CONTROL_PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
-PLATFORM_POLL_S = 0.5
-ENGINE_POLL_S = 0.5
-FLEET_PUSH_S = 0.25
-ENTRY_HEARTBEAT_S = 1.0
+PLATFORM_POLL_INTERVAL_S = 0.5
+ENGINE_POLL_INTERVAL_S = 0.5
+FLEET_PUSH_INTERVAL_S = 0.25
+ENTRY_HEARTBEAT_INTERVAL_S = 1.0
 ENTRY_FRESHNESS_S = 10.0
 CLAIM_RETENTION_S = 2 * 24 * 3600.0
