--- a/src/crowsill/cli/__init__.py
+++ b/src/crowsill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line for operators."""
--- a/src/crowsill/cli/client.py
+++ b/src/crowsill/cli/client.py
@@ -1,4 +1,4 @@
-"""The command line's connection to the control members."""
+"""HTTP client of the command line for the operators' API of control members."""
 
 import asyncio
 from pathlib import Path
@@ -14,10 +14,10 @@
 
 T = TypeVar("T")
 REQUEST_TIMEOUT_S = 10.0
-TRIES = 3
-RETRY_S = 0.3
-# A member that has no leader says when to come back; a person waits at this end.
-LONGEST_RETRY_S = 5.0
+ATTEMPTS_PER_MEMBER = 3
+MIN_RETRY_DELAY_S = 0.3
+# Bounds the `Retry-After` of a member without a leader, because a person waits for the command.
+MAX_RETRY_DELAY_S = 5.0
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -26,7 +26,7 @@
     Attributes:
         members: `http://IP:port` of each control member's operators' listener.
         token: The operator token.
-        author: Name written into the history.
+        author: Name recorded in the history of changes.
     """
 
     members: Annotated[list[str], msgspec.Meta(min_length=1)]
@@ -43,57 +43,57 @@
 
 
 class OperatorClient:
-    """Asks the control members, one after the other until one answers."""
+    """Sends requests to the control members one after the other, until one responds."""
 
     def __init__(self, settings: OperatorSettings) -> None:
         self.settings = settings
 
     def get(self, path: str, kind: type[T]) -> Result[T, str]:
-        """Get a resource."""
+        """Get a resource and decode it as `kind`; the failure describes the error."""
         return self._request("GET", path, None, kind)
 
     def post(self, path: str, body: msgspec.Struct, kind: type[T]) -> Result[T, str]:
-        """Post a body; it must be safe to send twice."""
+        """Post a body, which must be safe to send twice, and decode the response as `kind`."""
         return self._request("POST", path, msgspec.json.encode(body), kind)
 
     def _request(self, method: str, path: str, body: bytes | None, kind: type[T]) -> Result[T, str]:
-        return asyncio.run(self._ask_all(method, path, body, kind))
+        return asyncio.run(self._request_any(method, path, body, kind))
 
-    async def _ask_all(
+    async def _request_any(
         self, method: str, path: str, body: bytes | None, kind: type[T]
     ) -> Result[T, str]:
-        last = "no control member answered"
+        last_error = "no control member responded"
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         headers = {"Authorization": f"Bearer {self.settings.token}"}
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
-            for attempt in range(TRIES * len(self.settings.members)):
+            for attempt in range(ATTEMPTS_PER_MEMBER * len(self.settings.members)):
                 member = self.settings.members[attempt % len(self.settings.members)]
                 try:
                     async with session.request(method, f"{member}{path}", data=body) as response:
                         content = await response.read()
                         status = response.status
-                        told = response.headers.getall("Retry-After", [])
+                        retry_after_values = response.headers.getall("Retry-After", [])
                 except (aiohttp.ClientError, OSError, TimeoutError) as error:
-                    last = f"{member}: {error!r}"
-                    await asyncio.sleep(RETRY_S)
+                    last_error = f"{member}: {error!r}"
+                    await asyncio.sleep(MIN_RETRY_DELAY_S)
                     continue
-                answer = _decode(status, content, kind)
-                if answer is not None:
-                    return answer
-                last = f"{member}: no leader"
-                delay_s, _ = parse_longest_delay_s(told, wall_s())
-                await asyncio.sleep(min(LONGEST_RETRY_S, max(RETRY_S, delay_s)))
-        return Failure(last)
+                decoded = _decode(status, content, kind)
+                if decoded is not None:
+                    return decoded
+                last_error = f"{member}: no leader"
+                delay_s, _ = parse_longest_delay_s(retry_after_values, wall_s())
+                await asyncio.sleep(min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, delay_s)))
+        return Failure(last_error)
 
 
 def _decode(status: int, content: bytes, kind: Any) -> Result[Any, str] | None:  # noqa: ANN401
-    """Decode an answer; None means that another member, or a later try, may do better."""
+    """Decode a response; None if the request should be retried, at another member or later."""
     try:
         if status == 200:
             return Success(msgspec.json.decode(content, type=kind))
         error = msgspec.json.decode(content, type=ErrorBody)
-    except msgspec.DecodeError as fault:
-        return Failure(f"unexpected answer with status {status}: {fault}")
+    except msgspec.DecodeError as decode_error:
+        return Failure(f"unexpected response with status {status}: {decode_error}")
     if error.kind == ErrorKind.NO_LEADER:
         return None
     return Failure(f"{error.kind}: {error.detail}")
--- a/src/crowsill/cli/common.py
+++ b/src/crowsill/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands of `crowsill` share: the settings option, the client, and how they fail."""
+"""Shared parts of all commands of `crowsill`: common options, the client and error handling."""
 
 from pathlib import Path
 from typing import Annotated, NoReturn
@@ -14,24 +14,24 @@
 ]
 DEFAULT_SETTINGS = Path("crowsill.toml")
 JsonOption = Annotated[
-    bool, typer.Option("--json", help="Print the answer whole, as JSON, for other programs.")
+    bool, typer.Option("--json", help="Print the complete response as JSON, for other programs.")
 ]
 
 
 def fail(*lines: str) -> NoReturn:
-    """Print what went wrong and exit with 1."""
+    """Print error messages and exit with status 1."""
     for line in lines:
         typer.echo(f"crowsill: {line}", err=True)
     raise typer.Exit(1)
 
 
 def echo_json(value: object) -> None:
-    """Print a typed value as JSON, with the names of its fields."""
+    """Print a value as JSON, with the names of its fields."""
     typer.echo(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
 
 
 def client_of(settings: Path) -> OperatorClient:
-    """Return a client with the operator's settings."""
+    """Return a client with the operator's settings; exit with status 1 if they are invalid."""
     loaded = load_operator_settings(settings)
     if not isinstance(loaded, Success):
         fail(loaded.failure())
--- a/src/crowsill/cli/files.py
+++ b/src/crowsill/cli/files.py
@@ -1,4 +1,4 @@
-"""Templates and parameters in TOML files."""
+"""Reads templates and parameters from TOML files."""
 
 import tomllib
 from pathlib import Path
@@ -14,7 +14,7 @@
     kind: Literal["template", "parameters"]
 
 
-def _load_one(path: Path) -> Result[Template | Parameters, str]:
+def _load_file(path: Path) -> Result[Template | Parameters, str]:
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
         kind = msgspec.convert(table, _KindOnly).kind
@@ -32,18 +32,18 @@
     """Read files, and all `*.toml` files of folders, into one change.
 
     Returns:
-        The change, or one line for each faulty file.
+        The change, or one line for each invalid file.
     """
     files: list[Path] = []
     for path in paths:
         files.extend(sorted(path.glob("*.toml")) if path.is_dir() else [path])
     templates: list[Template] = []
     parameters: list[Parameters] = []
-    faults: list[str] = []
+    errors: list[str] = []
     for file in files:
-        loaded = _load_one(file)
+        loaded = _load_file(file)
         if not isinstance(loaded, Success):
-            faults.append(loaded.failure())
+            errors.append(loaded.failure())
             continue
         document = loaded.unwrap()
         if isinstance(document, Template):
@@ -51,7 +51,7 @@
         else:
             parameters.append(document)
     if not files:
-        faults.append("no TOML file was named")
-    if faults:
-        return Failure(faults)
+        errors.append("no TOML file was named")
+    if errors:
+        return Failure(errors)
     return Success(ConfigurationContent(templates, parameters))
--- a/src/crowsill/cli/main.py
+++ b/src/crowsill/cli/main.py
@@ -1,6 +1,6 @@
-"""The command `crowsill`: operators plan and apply templates and parameters, and look.
+"""The command `crowsill`: operators apply templates and parameters, and inspect the system.
 
-Exit codes: 0 done, 1 refused or failed, 2 unusable arguments.
+Exit codes: 0 success, 1 rejected or failed, 2 invalid arguments.
 """
 
 import uuid
@@ -21,7 +21,7 @@
     fail,
 )
 from crowsill.cli.files import load_content
-from crowsill.cli.trace import LogLine, parse_line, story
+from crowsill.cli.trace import LogLine, parse_line, trace_request
 from crowsill.control.operations import PlanResponse, Status
 from crowsill.model.configuration import (
     Configuration,
@@ -34,7 +34,7 @@
 
 application = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 
-members_application = typer.Typer(no_args_is_help=True, help="Look at or change the control group.")
+members_application = typer.Typer(no_args_is_help=True, help="Inspect or change the control group.")
 application.add_typer(members_application, name="members")
 application.add_typer(quarantine.application, name="quarantine")
 application.command()(replicas.replicas)
@@ -42,7 +42,7 @@
 FilesArgument = Annotated[list[Path], typer.Argument(help="TOML files, or folders of them.")]
 
 
-def _content(files: list[Path]) -> ConfigurationContent:
+def _load_content_or_fail(files: list[Path]) -> ConfigurationContent:
     loaded = load_content(files)
     if not isinstance(loaded, Success):
         fail(*loaded.failure())
@@ -50,12 +50,12 @@
     return content
 
 
-def _plan(client: OperatorClient, content: ConfigurationContent) -> PlanResponse:
-    answered = client.post("/v1/plan", content, PlanResponse)
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    answer: PlanResponse = answered.unwrap()
-    return answer
+def _request_plan(client: OperatorClient, content: ConfigurationContent) -> PlanResponse:
+    response = client.post("/v1/plan", content, PlanResponse)
+    if not isinstance(response, Success):
+        fail(response.failure())
+    plan_response: PlanResponse = response.unwrap()
+    return plan_response
 
 
 def _show_plan(plan: PlanResponse) -> None:
@@ -69,9 +69,9 @@
 @application.command()
 def plan(files: FilesArgument, settings: SettingsOption = DEFAULT_SETTINGS) -> None:
     """Show what applying the files would change, and whether it would be accepted."""
-    answer = _plan(client_of(settings), _content(files))
-    _show_plan(answer)
-    if answer.faults:
+    plan_response = _request_plan(client_of(settings), _load_content_or_fail(files))
+    _show_plan(plan_response)
+    if plan_response.faults:
         raise typer.Exit(1)
 
 
@@ -80,42 +80,43 @@
     files: FilesArgument,
     settings: SettingsOption = DEFAULT_SETTINGS,
     base: Annotated[
-        int | None, typer.Option(help="Revision the change is based on; default: the current.")
+        int | None,
+        typer.Option(help="Revision that the change is based on; default: the current one."),
     ] = None,
     change_id: Annotated[
         str | None, typer.Option(help="Id of the change; use the same one to send it again.")
     ] = None,
 ) -> None:
-    """Apply the files as one change, which is in force everywhere within seconds."""
+    """Apply the files as one change, which takes effect everywhere within seconds."""
     client = client_of(settings)
-    content = _content(files)
-    planned = _plan(client, content)
+    content = _load_content_or_fail(files)
+    planned = _request_plan(client, content)
     if not planned.differences:
-        typer.echo(f"no differences; revision {planned.revision} stays in force")
+        typer.echo(f"no differences; revision {planned.revision} stays in effect")
         return
     revision = planned.revision if base is None else base
     identifier = change_id or uuid.uuid4().hex
     change = ConfigurationChange(identifier, revision, content, client.settings.author)
-    answered = client.post("/v1/changes", change, ConfigurationResult)
-    if not isinstance(answered, Success):
+    response = client.post("/v1/changes", change, ConfigurationResult)
+    if not isinstance(response, Success):
         hint = f"send it again with --base {revision} --change-id {identifier}"
-        fail(answered.failure(), f"if the outcome is not clear, {hint}")
-    result = answered.unwrap()
+        fail(response.failure(), f"if the outcome is unknown, {hint}")
+    result = response.unwrap()
     typer.echo(f"{result.decision}: revision {result.revision} (change {identifier})")
 
 
 @application.command()
 def status(settings: SettingsOption = DEFAULT_SETTINGS, as_json: JsonOption = False) -> None:
-    """Show control members, the revision in force by site and entry, and back ends."""
-    answered = client_of(settings).get("/v1/status", Status)
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    found = answered.unwrap()
+    """Show control members, the revision in effect at each entry, and back ends."""
+    response = client_of(settings).get("/v1/status", Status)
+    if not isinstance(response, Success):
+        fail(response.failure())
+    found = response.unwrap()
     if as_json:
         echo_json(found)
         return
-    vouched = "confirmed by this member's lease" if found.confirmed else "as this member knows"
-    typer.echo(f"revision {found.revision}, {vouched} ({found.node}, {found.role})")
+    source = "confirmed by the leader's lease" if found.confirmed else "as known to this member"
+    typer.echo(f"revision {found.revision}, {source} ({found.node}, {found.role})")
     typer.echo("control members:")
     for member in found.members:
         marks = ("leader" if member.leads else "") + ("" if member.voter else " learner")
@@ -126,7 +127,7 @@
         typer.echo(f"  {entry.zone:16} {entry.node:16} revision {entry.revision}{mark}")
     typer.echo(f"back ends ({found.orders} orders not settled):")
     for replica in found.replicas:
-        state = "serving" if replica.accepts_work else "leaving or unreachable"
+        state = "serving" if replica.accepts_work else "draining or unreachable"
         load = f"running {replica.running} waiting {replica.waiting}"
         typer.echo(f"  {replica.zone:16} {replica.replica_id:16} {state} {load}")
         if replica.resident:
@@ -136,13 +137,13 @@
 @application.command()
 def history(settings: SettingsOption = DEFAULT_SETTINGS, as_json: JsonOption = False) -> None:
     """Show accepted changes, oldest first."""
-    answered = client_of(settings).get("/v1/history", list[AcceptedChange])
-    if not isinstance(answered, Success):
-        fail(answered.failure())
+    response = client_of(settings).get("/v1/history", list[AcceptedChange])
+    if not isinstance(response, Success):
+        fail(response.failure())
     if as_json:
-        echo_json(answered.unwrap())
+        echo_json(response.unwrap())
         return
-    for change in answered.unwrap():
+    for change in response.unwrap():
         names = [item.name for item in change.content.templates]
         names += [item.tenant for item in change.content.parameters]
         typer.echo(f"{change.revision:6} {change.change_id:34} {change.author} {' '.join(names)}")
@@ -151,7 +152,7 @@
 @application.command()
 def show(
     revision: Annotated[
-        int | None, typer.Option(help="Revision to show; default: the one in force.")
+        int | None, typer.Option(help="Revision to show; default: the one in effect.")
     ] = None,
     settings: SettingsOption = DEFAULT_SETTINGS,
 ) -> None:
@@ -162,12 +163,12 @@
         fail(current.failure())
     found: Configuration | None = current.unwrap()
     if revision is not None and revision != current.unwrap().revision:
-        past = client.get("/v1/history", list[AcceptedChange])
-        if not isinstance(past, Success):
-            fail(past.failure())
-        found = configuration_at(past.unwrap(), revision)
+        history_response = client.get("/v1/history", list[AcceptedChange])
+        if not isinstance(history_response, Success):
+            fail(history_response.failure())
+        found = configuration_at(history_response.unwrap(), revision)
     if found is None:
-        fail(f"revision {revision} is not in the history that is kept")
+        fail(f"revision {revision} is not in the retained history")
     echo_json(found)
 
 
@@ -176,17 +177,17 @@
     model: Annotated[str, typer.Argument(help="A model, or model:adapter.")],
     settings: SettingsOption = DEFAULT_SETTINGS,
 ) -> None:
-    """Show where a model lives and what its replicas are doing."""
-    answered = client_of(settings).get("/v1/status", Status)
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    holders = [item for item in answered.unwrap().replicas if model in item.resident]
+    """Show which replicas hold a model, their state and their load."""
+    response = client_of(settings).get("/v1/status", Status)
+    if not isinstance(response, Success):
+        fail(response.failure())
+    holders = [item for item in response.unwrap().replicas if model in item.resident]
     for replica in holders:
-        state = "serving" if replica.accepts_work else "leaving or unreachable"
+        state = "serving" if replica.accepts_work else "draining or unreachable"
         load = f"running {replica.running}, waiting {replica.waiting}"
         typer.echo(f"{replica.replica_id:16} {replica.zone:16} {state}, {load}")
     if not holders:
-        fail(f"no back end holds {model!r}; decisions are in the leader's log as E501")
+        fail(f"no back end holds {model!r}; the leader's log shows decisions as E501")
 
 
 @application.command()
@@ -194,7 +195,7 @@
     request_id: Annotated[str, typer.Argument(help="The caller's id of the request.")],
     logs: Annotated[list[Path], typer.Argument(help="Saved logs of gateways and members.")],
 ) -> None:
-    """Show from saved logs what happened to a request, and why."""
+    """Show the events of a request in saved logs, and the events that caused them."""
     lines: list[LogLine] = []
     for path in logs:
         try:
@@ -202,62 +203,66 @@
         except OSError as error:
             fail(f"{path}: {error.strerror}")
         lines.extend(line for line in map(parse_line, text.splitlines()) if line is not None)
-    told = story(lines, request_id)
-    if not told:
-        fail(f"no line names the request {request_id!r}")
-    for line in told:
+    shown = trace_request(lines, request_id)
+    if not shown:
+        fail(f"no log line has the request id {request_id!r}")
+    for line in shown:
         typer.echo(line)
 
 
 @application.command()
 def rollback(
-    revision: Annotated[int, typer.Argument(help="Revision whose content is wanted again.")],
+    revision: Annotated[int, typer.Argument(help="Revision whose content to restore.")],
     settings: SettingsOption = DEFAULT_SETTINGS,
 ) -> None:
-    """Make the content of an older revision current again, as a new and higher revision."""
+    """Restore the content of an older revision, as a new revision with a higher number."""
     client = client_of(settings)
     current = client.get("/v1/configuration", Configuration)
-    past = client.get("/v1/history", list[AcceptedChange])
+    history_response = client.get("/v1/history", list[AcceptedChange])
     if not isinstance(current, Success):
         fail(current.failure())
-    if not isinstance(past, Success):
-        fail(past.failure())
-    content = _rollback_content(current.unwrap(), past.unwrap(), revision)
+    if not isinstance(history_response, Success):
+        fail(history_response.failure())
+    content = _rollback_content(current.unwrap(), history_response.unwrap(), revision)
     if content is None:
-        fail(f"revision {revision} is not in the history that is kept")
+        fail(f"revision {revision} is not in the retained history")
     now = current.unwrap().revision
     identifier = f"rollback-{now}-to-{revision}"
     change = ConfigurationChange(identifier, now, content, client.settings.author)
-    answered = client.post("/v1/changes", change, ConfigurationResult)
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    typer.echo(f"{answered.unwrap().decision}: revision {answered.unwrap().revision}")
+    response = client.post("/v1/changes", change, ConfigurationResult)
+    if not isinstance(response, Success):
+        fail(response.failure())
+    typer.echo(f"{response.unwrap().decision}: revision {response.unwrap().revision}")
 
 
 def _show_members(report: MembersReport) -> None:
     for member in report.members:
         role = "leader" if member.leads else "voter" if member.voter else "learner"
         marks = f", replaces {member.replaces}" if member.replaces else ""
-        state = f"{role}, {member.behind} entries behind, silent {member.silent_s} s{marks}"
+        state = f"{role}, {member.behind} entries behind, silent for {member.silent_s} s{marks}"
         typer.echo(f"{member.name:16} {member.address:22} {member.member_id:32} {state}")
-    typer.echo("the group is whole" if report.is_fully_replicated else "THE GROUP IS NOT WHOLE")
+    typer.echo(
+        "the group is fully replicated"
+        if report.is_fully_replicated
+        else "THE GROUP IS NOT FULLY REPLICATED"
+    )
     typer.echo(report.risk)
 
 
 def _change_members(settings: Path, request: MembersRequest) -> None:
-    answered = client_of(settings).post("/v1/members", request, MembersReport)
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    _show_members(answered.unwrap())
+    response = client_of(settings).post("/v1/members", request, MembersReport)
+    if not isinstance(response, Success):
+        fail(response.failure())
+    _show_members(response.unwrap())
 
 
 @members_application.command("list")
 def members_list(settings: SettingsOption = DEFAULT_SETTINGS, as_json: JsonOption = False) -> None:
-    """Show the control members, and whether the group is whole; exits with 1 if it is not."""
-    answered = client_of(settings).get("/v1/members", MembersReport)
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    report = answered.unwrap()
+    """Show the control members, and whether the group is fully replicated; exit with 1 if not."""
+    response = client_of(settings).get("/v1/members", MembersReport)
+    if not isinstance(response, Success):
+        fail(response.failure())
+    report = response.unwrap()
     if as_json:
         echo_json(report)
     else:
@@ -268,7 +273,7 @@
 
 @members_application.command("add")
 def members_add(host: str, port: int, settings: SettingsOption = DEFAULT_SETTINGS) -> None:
-    """Add the blank member that listens at HOST and PORT; it votes once it has caught up."""
+    """Add the empty member that listens at HOST and PORT; it votes once it has caught up."""
     _change_members(settings, MembersRequest(MemberAction.ADD, "new", host, port))
 
 
@@ -282,25 +287,29 @@
 def members_replace(
     name: str, host: str, port: int, settings: SettingsOption = DEFAULT_SETTINGS
 ) -> None:
-    """Give the place of member NAME to the blank one at HOST and PORT, once it has caught up."""
+    """Replace member NAME by the empty one at HOST and PORT, once that has caught up."""
     _change_members(settings, MembersRequest(MemberAction.REPLACE, name, host, port))
 
 
-def configuration_at(past: list[AcceptedChange], revision: int) -> Configuration | None:
-    """Rebuild an older configuration; None when the kept history does not reach back."""
-    if not past or past[0].revision != 1 or not 0 <= revision <= past[-1].revision:
+def configuration_at(accepted_changes: list[AcceptedChange], revision: int) -> Configuration | None:
+    """Return the configuration at a revision; None if the retained history does not have it."""
+    if (
+        not accepted_changes
+        or accepted_changes[0].revision != 1
+        or not 0 <= revision <= accepted_changes[-1].revision
+    ):
         return None
     found = Configuration()
-    for change in past[:revision]:
+    for change in accepted_changes[:revision]:
         found = found.with_content(change.content, change.revision)
     return found
 
 
 def _rollback_content(
-    current: Configuration, past: list[AcceptedChange], revision: int
+    current: Configuration, accepted_changes: list[AcceptedChange], revision: int
 ) -> ConfigurationContent | None:
-    """The change from `current` back to `revision`; None when the history is too short."""
-    old = configuration_at(past, revision)
+    """Return the change from `current` back to `revision`; None if the history is too short."""
+    old = configuration_at(accepted_changes, revision)
     if old is None:
         return None
     return ConfigurationContent(
--- a/src/crowsill/cli/replicas.py
+++ b/src/crowsill/cli/replicas.py
@@ -1,4 +1,4 @@
-"""The command `crowsill replicas`: registered replicas, and why gateways send them nothing."""
+"""The command `crowsill replicas`: registered replicas, and why gateways exclude them."""
 
 from typing import Annotated
 
@@ -16,28 +16,28 @@
 from crowsill.control.replica_overview import ExclusionLine, RegisteredReplicaLine
 
 
-def _is_held_back(line: RegisteredReplicaLine) -> bool:
-    """Whether it gets less than it could run."""
+def _is_restricted(line: RegisteredReplicaLine) -> bool:
+    """Whether a gateway excludes the replica or a rate limit applies to it."""
     return bool(line.exclusions) or line.limit_per_s is not None
 
 
-def _exclusion_text(line: ExclusionLine) -> str:
+def _format_exclusion(line: ExclusionLine) -> str:
     until = "" if line.left_s is None else f" for {line.left_s:.1f} s more"
     return f"  {line.gateway}: {line.why}{until}"
 
 
 def replicas(
     excluded: Annotated[
-        bool, typer.Option("--excluded", help="Only those sent nothing, or no more than a limit.")
+        bool, typer.Option("--excluded", help="Only replicas that are excluded or rate-limited.")
     ] = False,
     settings: SettingsOption = DEFAULT_SETTINGS,
     as_json: JsonOption = False,
 ) -> None:
-    """Show registered replicas, and which gateways send them nothing, why and for how long."""
-    answered = client_of(settings).get("/v1/replicas", list[RegisteredReplicaLine])
-    if not isinstance(answered, Success):
-        fail(answered.failure())
-    shown = [line for line in answered.unwrap() if _is_held_back(line) or not excluded]
+    """Show registered replicas, and which gateways exclude them, why and for how long."""
+    response = client_of(settings).get("/v1/replicas", list[RegisteredReplicaLine])
+    if not isinstance(response, Success):
+        fail(response.failure())
+    shown = [line for line in response.unwrap() if _is_restricted(line) or not excluded]
     if as_json:
         echo_json(shown)
         return
@@ -47,9 +47,9 @@
             f"{line.service} {line.instance_id} {line.zone} {line.address} {line.state}{models}"
         )
         if line.limit_per_s is not None:
-            limit = f"names a limit of {line.limit_per_s:g} requests a second"
+            limit = f"advertises a rate limit of {line.limit_per_s:g} requests per second"
             typer.echo(f"  {limit}: {line.granted} granted by this leader")
         for exclusion in line.exclusions:
-            typer.echo(_exclusion_text(exclusion))
+            typer.echo(_format_exclusion(exclusion))
     if not shown:
-        typer.echo("no gateway says so of any replica" if excluded else "none is registered")
+        typer.echo("no replica is excluded or limited" if excluded else "no replica is registered")
--- a/src/crowsill/cli/trace.py
+++ b/src/crowsill/cli/trace.py
@@ -1,7 +1,7 @@
-"""From the id of a request to its cause, over saved logs of any number of processes.
+"""Traces a request through saved logs of any number of processes.
 
-What belongs to a request: its own lines at the gateways, the lines about the replicas that it was
-sent to, and those about the model that it waited for, shortly before and while it was served.
+The trace has the request's own lines at the gateways, and lines shortly before and while it was
+served: those about the replicas that it was sent to, and those about the model that it waited for.
 """
 
 import re
@@ -10,14 +10,14 @@
 
 from crowsill.events import Event
 
-BEFORE_S = 15.0
-AFTER_S = 1.0
+MAX_BEFORE_S = 15.0
+MAX_AFTER_S = 1.0
 
 _LINE = re.compile(r"(\d{4}-\d\d-\d\dT[\d:.]+)Z (\w+) E(\d+) (\w+) (.*)")
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S*)')
 _FINGERPRINT = re.compile(r"fingerprint ([0-9a-f]+)")
 _MEANINGS = {event.value.number: event.value.meaning for event in Event}
-_RESTING = re.compile(r"(?:asked for rest|its limit allows): (\S+) for ")
+_BACKING_OFF_REPLICA = re.compile(r"(?:asked for rest|its limit allows): (\S+) for ")
 _REPLICA_EVENTS = frozenset(
     (205, 206, 208, 211, 212, 213, 214, 215, 216, 502, 504, 505, 506, 512, 513)
 )
@@ -26,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One parsed line.
+    """One parsed log line.
 
     Attributes:
-        at: Time of day.
+        at: Date and time in UTC.
         number: Number of the event.
-        name: Its name.
-        fields: Its fields, without quotes.
+        name: Name of the event.
+        fields: Fields of the line, without quotes.
     """
 
     at: datetime
@@ -41,13 +41,13 @@
     fields: dict[str, str]
 
     def text(self) -> str:
-        """Return the line as it is shown."""
+        """Return the line as it is printed in a trace."""
         words = " ".join(f"{name}={value}" for name, value in self.fields.items())
         return f"{self.at.time().isoformat('milliseconds')} E{self.number} {self.name} {words}"
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Read one log line; None for anything else.
+    """Parse one log line; return None for any other text.
 
     >>> parse_line('2026-01-02T03:04:05.678Z INFO E201 refused kind=a detail="b c"').fields
     {'kind': 'a', 'detail': 'b c'}
@@ -60,38 +60,42 @@
     return LogLine(at, int(found.group(3)), found.group(4), fields)
 
 
-def story(lines: list[LogLine], request_id: str) -> list[str]:
-    """Return what happened to a request, in the order of time; empty when no line names it."""
-    own = [line for line in lines if line.fields.get("request") == request_id]
-    if not own:
+def trace_request(lines: list[LogLine], request_id: str) -> list[str]:
+    """Return the lines of a request's trace by time; empty if no line has the request's id."""
+    request_lines = [line for line in lines if line.fields.get("request") == request_id]
+    if not request_lines:
         return []
-    begin = min(line.at for line in own) - timedelta(seconds=BEFORE_S)
-    end = max(line.at for line in own) + timedelta(seconds=AFTER_S)
-    details = " ".join(line.fields.get("detail", "") for line in own)
-    replicas = {line.fields["replica"] for line in own if line.fields.get("replica")}
-    # A request that was sent nowhere names the replica that rests in its refusal.
-    replicas |= set(_RESTING.findall(details))
-    resources = {line.fields["resource"] for line in own if line.fields.get("resource")}
+    begin = min(line.at for line in request_lines) - timedelta(seconds=MAX_BEFORE_S)
+    end = max(line.at for line in request_lines) + timedelta(seconds=MAX_AFTER_S)
+    details = " ".join(line.fields.get("detail", "") for line in request_lines)
+    replicas = {line.fields["replica"] for line in request_lines if line.fields.get("replica")}
+    # The rejection of a request that was never sent names the replica that is backing off.
+    replicas |= set(_BACKING_OFF_REPLICA.findall(details))
+    resources = {line.fields["resource"] for line in request_lines if line.fields.get("resource")}
     models = {resource.partition("/")[0] for resource in resources}
-    others = [line for line in lines if line not in own]
-    near = [line for line in others if begin <= line.at <= end]
-    related = [line for line in near if _belongs(line, replicas, models)]
-    # What a request was held back for lies any time before.
-    held_back = _FINGERPRINT.findall(details)
-    related += [line for line in others if line.fields.get("fingerprint") in held_back]
-    unique = {line.text(): line for line in [*own, *related]}
+    other_lines = [line for line in lines if line not in request_lines]
+    nearby = [line for line in other_lines if begin <= line.at <= end]
+    related_lines = [line for line in nearby if _is_related(line, replicas, models)]
+    # The crashes for which a request is quarantined may be much older.
+    quarantined_fingerprints = _FINGERPRINT.findall(details)
+    related_lines += [
+        line for line in other_lines if line.fields.get("fingerprint") in quarantined_fingerprints
+    ]
+    unique = {line.text(): line for line in [*request_lines, *related_lines]}
     shown = [
-        f"{'*' if line in own else ' '} {text}"
+        f"{'*' if line in request_lines else ' '} {text}"
         for text, line in sorted(unique.items(), key=lambda item: item[1].at)
     ]
-    last = max(own, key=lambda line: line.at)
+    last = max(request_lines, key=lambda line: line.at)
     return [*shown, f"It ended with E{last.number}: {_MEANINGS.get(last.number, 'unknown')}"]
 
 
-def _belongs(line: LogLine, replicas: set[str], models: set[str]) -> bool:
+def _is_related(line: LogLine, replicas: set[str], models: set[str]) -> bool:
     if line.number in _MODEL_EVENTS:
-        named = [line.fields.get(name, "") for name in ("load", "unload", "resource")]
-        told = {word.partition("/")[0] for value in named for word in value.split(",") if word}
-        if told & models:
+        field_values = [line.fields.get(name, "") for name in ("load", "unload", "resource")]
+        named_models = {
+            word.partition("/")[0] for value in field_values for word in value.split(",") if word
+        }
+        if named_models & models:
             return True
     return line.number in _REPLICA_EVENTS and line.fields.get("replica", "") in replicas
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -116,7 +116,7 @@
     assert '"target_ms": 500' in run_cli(site, "show").stdout
     assert "serving" in run_cli(site, "explain", "alpha").stdout
     listed = run_cli(site, "members", "list")
-    assert listed.returncode == 0 and "the group is whole" in listed.stdout
+    assert listed.returncode == 0 and "the group is fully replicated" in listed.stdout
     rejected = run_cli(site, "members", "remove", leader_name(site))
     assert rejected.returncode == 1 and "cannot remove itself" in rejected.stderr
 
--- a/tests/test_quarantine_commands.py
+++ b/tests/test_quarantine_commands.py
@@ -80,10 +80,10 @@
 def test_quarantined_requests_are_listed_with_their_crashes_and_can_be_lifted(settings):
     shown = command("list", "-s", settings).output
     assert (
-        f"{CRASHING_REQUEST.fingerprint.hex()} held back since 1970-01-01T00:16:43Z till" in shown
+        f"{CRASHING_REQUEST.fingerprint.hex()} quarantined since 1970-01-01T00:16:43Z till" in shown
     )
     assert "shop.example/pay/a (last id r7)" in shown
-    assert "ended: i-1 i-2 i-3, the first at 1970-01-01T00:16:41Z" in shown
+    assert "crashed: i-1 i-2 i-3, the first at 1970-01-01T00:16:41Z" in shown
     assert INNOCENT_REQUEST.fingerprint.hex() not in shown
     assert (
         f"{INNOCENT_REQUEST.fingerprint.hex()} suspect"
@@ -91,8 +91,8 @@
     )
     assert command("lift", CRASHING_REQUEST.fingerprint.hex(), "-s", settings).output == "lifted\n"
     again = command("lift", CRASHING_REQUEST.fingerprint.hex(), "-s", settings)
-    assert again.output == "nothing was counted against it\n"
-    assert command("list", "-s", settings).output == "nothing is held back\n"
+    assert again.output == "no crash is recorded for it\n"
+    assert command("list", "-s", settings).output == "no request is quarantined\n"
 
 
 def test_invalid_fingerprint_is_rejected(settings):
--- a/tests/test_replica_overview.py
+++ b/tests/test_replica_overview.py
@@ -100,7 +100,7 @@
         "till i-2 z 127.0.0.1:2 draining",
         "  g-1: leaving",
         "till i-3 z 127.0.0.1:3 ready",
-        "  names a limit of 1.5 requests a second: 0 granted by this leader",
+        "  advertises a rate limit of 1.5 requests per second: 0 granted by this leader",
         "  g-1: unreachable",
         "till i-4 z 127.0.0.1:4 ready holds m",
     ]
