--- a/src/crowsill/gateway/availability.py
+++ b/src/crowsill/gateway/availability.py
@@ -94,7 +94,7 @@
         max_probes: Requests without a response head that it may have after a backoff; None for no
             bound.
         probes: Requests of that kind that it has.
-        in_flight_at_shed: Requests of this process that it had when it last asked for a backoff.
+        in_flight_at_shed: Accepted requests of this process when it last asked for a backoff.
         shed_backoff_s: Length of that backoff; 0 if it never asked for one.
         is_listed_draining: Whether the directory lists it as draining.
         is_unreachable: Whether the last attempt to connect to it failed.
