--- a/src/crowsill_lab/bench/cut.py
+++ b/src/crowsill_lab/bench/cut.py
@@ -155,7 +155,7 @@
     """Cut the leader off silently for a while."""
     engine = EngineShape("engines", 10000, 8, ["z1"])
     deployment = bench_deployment(0, 3, engine, ServiceShape("till", 8, ["z1"]))
-    site = Site(deployment, folder.absolute(), relayed=True)
+    site = Site(deployment, folder.absolute(), is_relayed=True)
     try:
         site.start()
         return asyncio.run(_cut(site, seconds))
--- a/src/crowsill_lab/bench/stops.py
+++ b/src/crowsill_lab/bench/stops.py
@@ -130,7 +130,7 @@
         answered=sum(tally.answered for tally in tallies),
         broken=sum(tally.broken for tally in tallies),
         unreachable=sum(tally.unreachable for tally in tallies),
-        refused=sum(sum(tally.refused.values()) for tally in tallies),
+        refused=sum(sum(tally.rejected.values()) for tally in tallies),
         key_violations=len(result.keys.violations(runs)),
         entry_exit_code=entry_code,
         control_exit_code=control_code,
--- a/src/crowsill_lab/demo/__init__.py
+++ b/src/crowsill_lab/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration on plain processes."""
+"""A demonstration that runs a deployment as local processes."""
--- a/src/crowsill_lab/demo/processes.py
+++ b/src/crowsill_lab/demo/processes.py
@@ -1,4 +1,4 @@
-"""Starting and stopping the processes of a run; each is ended by its own id."""
+"""Starts and stops the processes of a run; each is terminated by its own process id."""
 
 import os
 import signal
@@ -12,27 +12,28 @@
 STOP_TIMEOUT_S = 30.0
 
 
-# Ports that were drawn stay bound by this process, which never listens on them: as many as any run
-# has, so that a process with many runs one after the other does not keep open files without end.
-MOST_HELD = 400
-_drawn: deque[socket.socket] = deque()
+# Allocated ports stay bound by this process, which never listens on them. The maximum is the number
+# of ports of the largest run, so that a process with many runs does not leak open files.
+MAX_HELD_PORTS = 400
+_held_sockets: deque[socket.socket] = deque()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody has or is given, at any address, until `MOST_HELD` more are drawn.
+    """Return ports that are free at all addresses.
 
-    Who names such a port and allows its reuse, as servers do, can still listen there. Let go as
-    soon as they were drawn, one port in 153 of 20,000 starts of six processes went to two of them.
+    No other process gets such a port from the system until `MAX_HELD_PORTS` more are allocated. A
+    process that binds the port explicitly with SO_REUSEADDR, as servers do, can still listen on it.
+    Without holding the ports, two of six processes got the same port in 153 of 20,000 starts.
     """
     ports = []
     for _ in range(count):
-        holder = socket.socket()
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind(("0.0.0.0", 0))
-        _drawn.append(holder)
-        if len(_drawn) > MOST_HELD:
-            _drawn.popleft().close()
-        ports.append(holder.getsockname()[1])
+        held_socket = socket.socket()
+        held_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        held_socket.bind(("0.0.0.0", 0))
+        _held_sockets.append(held_socket)
+        if len(_held_sockets) > MAX_HELD_PORTS:
+            _held_sockets.popleft().close()
+        ports.append(held_socket.getsockname()[1])
     return ports
 
 
@@ -40,8 +41,8 @@
     """One child process with its log file.
 
     Attributes:
-        name: Name in messages.
-        log: File with what it wrote to stderr.
+        name: Name in messages and of the log file.
+        log: File with its output to stdout and stderr.
     """
 
     def __init__(self, name: str, command: list[str], folder: Path) -> None:
@@ -52,7 +53,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start, or start again after an end."""
+        """Start the process, or restart it after it ended."""
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(
                 self._command, stdin=subprocess.DEVNULL, stdout=log, stderr=log
@@ -70,26 +71,26 @@
         """Exit code; None while it runs."""
         return None if self._process is None else self._process.poll()
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, sent_signal: signal.Signals) -> None:
         """Send a signal, if it still runs."""
         if self.exit_code is None:
-            os.kill(self.pid, number)
+            os.kill(self.pid, sent_signal)
 
     def hang_up(self) -> bool:
-        """Send SIGHUP, unless the program has not begun to run: then it would end without a word.
+        """Send SIGHUP, unless the program does not handle it yet: the signal would terminate it.
 
-        Until its first lines have run, 20 to 50 ms after the start, no program can take a signal; a
-        supervisor would start it again. Seen as a member that stayed away for 18 s of a soak.
+        No program can handle a signal before its first lines have run, 20 to 50 ms after the start.
+        A supervisor would restart it; a soak does not, and its member was missing for 18 s.
 
         Returns:
             Whether the signal was sent.
         """
-        if self.exit_code is not None or not self._takes_hang_ups():
+        if self.exit_code is not None or not self._handles_hang_up():
             return False
         self.send(signal.SIGHUP)
         return True
 
-    def _takes_hang_ups(self) -> bool:
+    def _handles_hang_up(self) -> bool:
         try:
             lines = Path(f"/proc/{self.pid}/status").read_text().splitlines()
         except OSError:
@@ -99,7 +100,7 @@
         return bool(handled >> (signal.SIGHUP - 1) & 1)
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
-        """Wait for the end; return the exit code, or None if it still runs."""
+        """Wait until the process ends; return the exit code, or None if it still runs."""
         if self._process is None:
             return None
         try:
@@ -107,8 +108,8 @@
         except subprocess.TimeoutExpired:
             return None
 
-    def end(self) -> None:
-        """End it in any case."""
+    def terminate(self) -> None:
+        """Send SIGTERM, and SIGKILL if the process does not end within a second."""
         if self.exit_code is None:
             self.send(signal.SIGTERM)
             if self.wait(1.0) is None:
@@ -116,7 +117,7 @@
                 self.wait()
 
     def cpu_s(self) -> float:
-        """Processor time used so far, from the process table; 0 after its end."""
+        """Return the CPU time used so far in seconds; 0 after the process ended."""
         try:
             fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
@@ -125,7 +126,7 @@
         return float(ticks) / os.sysconf("SC_CLK_TCK")
 
     def resident_mib(self) -> float:
-        """Resident memory; 0 after its end."""
+        """Return the resident memory in MiB; 0 after the process ended."""
         try:
             text = Path(f"/proc/{self.pid}/status").read_text()
         except OSError:
@@ -135,14 +136,14 @@
 
 
 def module_command(module: str, *arguments: str) -> list[str]:
-    """Return the command that runs a module of this environment."""
+    """Return the command that runs a module with this Python interpreter."""
     return [sys.executable, "-m", module, *arguments]
 
 
 def wait_for_port(port: int, timeout_s: float, host: str = "127.0.0.1") -> bool:
-    """Wait until something listens on a loopback port."""
-    deadline_s = time.monotonic() + timeout_s
-    while time.monotonic() < deadline_s:
+    """Wait until a process listens on a port; return whether one does."""
+    deadline_at_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_at_s:
         with socket.socket() as probe:
             probe.settimeout(0.2)
             if probe.connect_ex((host, port)) == 0:
--- a/src/crowsill_lab/demo/site.py
+++ b/src/crowsill_lab/demo/site.py
@@ -1,4 +1,4 @@
-"""A whole deployment on this machine: back ends, control members and entries as processes."""
+"""A complete deployment on this machine: back ends, control members and entries as processes."""
 
 import hashlib
 import json
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ControlPorts:
-    """Ports of one control member; others reach it at `peer`, which a relay may stand behind."""
+    """Ports of one control member; other processes connect to `peer`, which may be a relay."""
 
     peer: int
     operators: int
@@ -35,21 +35,21 @@
     """The processes of one deployment.
 
     Attributes:
-        folder: Settings, logs and data of the run.
+        folder: Folder of the settings, logs and data of the run.
         processes: Processes by name.
         entries: `IP:port` of each entry by name.
-        replicas: Back ends as the platform lists them.
-        platform: `IP:port` of the platform's list.
-        operator_settings: Settings file for the command line.
+        replicas: Back ends in the list of machines.
+        platform: `IP:port` of the server of the list of machines.
+        operator_settings: Settings file of the operator command.
     """
 
-    def __init__(self, deployment: LabDeployment, folder: Path, relayed: bool = False) -> None:
+    def __init__(self, deployment: LabDeployment, folder: Path, is_relayed: bool = False) -> None:
         """Prepare a deployment.
 
         Args:
-            deployment: What to start.
-            folder: Emptied first.
-            relayed: Whether a relay will stand between the control members.
+            deployment: Back ends, control members and entries to start.
+            folder: Folder of the run; its contents are deleted first.
+            is_relayed: Whether a relay connects the control members.
         """
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
@@ -62,30 +62,30 @@
         self._deployment = deployment
         self._token = secrets.token_hex(16)
         (folder / "cluster.key").write_text(secrets.token_hex(32))
-        self._control = [_control_ports(relayed) for _ in range(deployment.control_members)]
+        self._control = [_control_ports(is_relayed) for _ in range(deployment.control_members)]
 
     @property
     def control_ports(self) -> list[int]:
-        """Ports of the control members for crowsill's own processes."""
+        """Ports at which other processes of the deployment reach the control members."""
         return [ports.peer for ports in self._control]
 
     @property
     def listen_ports(self) -> list[int]:
-        """Ports where the control members themselves listen."""
+        """Ports on which the control members listen for other processes of the deployment."""
         return [ports.listen for ports in self._control]
 
     @property
     def operator_ports(self) -> list[int]:
-        """Ports of the control members for operators."""
+        """Ports of the control members for operator requests."""
         return [ports.operators for ports in self._control]
 
     @property
     def operator_token(self) -> str:
-        """The operator token."""
+        """Bearer token of the operator."""
         return self._token
 
     def start(self) -> None:
-        """Start everything, back ends first."""
+        """Start all processes, back ends first."""
         self._start_backends()
         for index in range(len(self._control)):
             self._start_control(index)
@@ -98,27 +98,29 @@
         if not wait_for_port(port, START_TIMEOUT_S):
             raise RuntimeError(f"{name} did not start; see {self.processes[name].log}")
 
-    def _lab(self, kind: str, name: str, shape: msgspec.Struct, *more: str) -> int:
+    def _start_lab_process(
+        self, kind: str, name: str, shape: msgspec.Struct, *extra_arguments: str
+    ) -> int:
         (port,) = free_ports(1)
         shape_json = json.dumps(msgspec.to_builtins(shape))
-        command = module_command("crowsill_lab.main", kind, str(port), shape_json, *more)
+        command = module_command("crowsill_lab.main", kind, str(port), shape_json, *extra_arguments)
         self._spawn(name, command, port)
         return port
 
     def _start_backends(self) -> None:
         deployment = self._deployment
-        store = f"{HOST}:{self._lab('store', 'store', deployment.store)}"
-        lag = str(deployment.report_lag_s)
+        store = f"{HOST}:{self._start_lab_process('store', 'store', deployment.store)}"
+        report_lag = str(deployment.report_lag_s)
         for engine in deployment.engines:
             for index, zone in enumerate(engine.zones):
                 name = f"{engine.pool}-{index}"
-                port = self._lab("engine", name, engine, store, lag)
-                self.replicas.append(_engine(name, zone, port, engine))
+                port = self._start_lab_process("engine", name, engine, store, report_lag)
+                self.replicas.append(_engine_description(name, zone, port, engine))
         for service in deployment.services:
             for index, zone in enumerate(service.zones):
                 name = f"{service.pool}-{index}"
-                port = self._lab("service", name, service, lag)
-                self.replicas.append(_service(name, zone, port, service))
+                port = self._start_lab_process("service", name, service, report_lag)
+                self.replicas.append(_service_description(name, zone, port, service))
         (port,) = free_ports(1)
         machines = self.folder / "machines.json"
         machines.write_bytes(msgspec.json.encode(self.replicas))
@@ -129,7 +131,7 @@
         self._spawn("platform", command, port)
         self.platform = f"{HOST}:{port}"
 
-    def _head(self, node: str, index: int) -> str:
+    def _common_settings(self, node: str, index: int) -> str:
         zone = self._deployment.zones[index % len(self._deployment.zones)]
         key_file = self.folder / "cluster.key"
         return f'node = "{node}"\nzone = "{zone}"\ncluster_key_file = "{key_file}"\n'
@@ -140,7 +142,7 @@
         store = self._deployment.store
         digest = hashlib.sha256(self._token.encode()).hexdigest()
         lines = [
-            self._head(name, index),
+            self._common_settings(name, index),
             "[control]",
             f'data_folder = "{self.folder / name}"',
             f'listen = {{ host = "{HOST}", port = {ports.listen} }}',
@@ -153,7 +155,7 @@
         for peer_index, peer in enumerate(self._control):
             lines.append("[[control.initial_members]]")
             lines.append(f'name = "control-{peer_index}"\nhost = "{HOST}"\nport = {peer.peer}')
-        self._spawn(name, self._daemon(name, lines), ports.operators)
+        self._spawn(name, self._daemon_command(name, lines), ports.operators)
 
     def _start_entry(self, index: int) -> None:
         name = f"entry-{index}"
@@ -162,15 +164,15 @@
             f'{{ host = "{HOST}", port = {ports.peer} }}' for ports in self._control
         )
         lines = [
-            self._head(name, index),
+            self._common_settings(name, index),
             "[entry]",
             f'callers = {{ host = "{HOST}", port = {port} }}',
             f"control_members = [{members}]",
         ]
-        self._spawn(name, self._daemon(name, lines), port)
+        self._spawn(name, self._daemon_command(name, lines), port)
         self.entries[name] = f"{HOST}:{port}"
 
-    def _daemon(self, name: str, lines: list[str]) -> list[str]:
+    def _daemon_command(self, name: str, lines: list[str]) -> list[str]:
         path = self.folder / f"{name}.toml"
         path.write_text("\n".join(lines) + "\n")
         return module_command("crowsill.daemon", str(path))
@@ -181,17 +183,17 @@
         self.operator_settings.write_text(text)
 
     def stop(self) -> None:
-        """End every process."""
+        """Terminate all processes, in reverse order of their start."""
         for process in reversed(list(self.processes.values())):
-            process.end()
+            process.terminate()
 
 
-def _control_ports(relayed: bool) -> _ControlPorts:
+def _control_ports(is_relayed: bool) -> _ControlPorts:
     peer, operators, listen = free_ports(3)
-    return _ControlPorts(peer, operators, listen if relayed else peer)
+    return _ControlPorts(peer, operators, listen if is_relayed else peer)
 
 
-def _engine(name: str, zone: str, port: int, shape: EngineShape) -> ReplicaDescription:
+def _engine_description(name: str, zone: str, port: int, shape: EngineShape) -> ReplicaDescription:
     return ReplicaDescription(
         replica_id=name,
         kind=ReplicaKind.ENGINE,
@@ -204,7 +206,9 @@
     )
 
 
-def _service(name: str, zone: str, port: int, shape: ServiceShape) -> ReplicaDescription:
+def _service_description(
+    name: str, zone: str, port: int, shape: ServiceShape
+) -> ReplicaDescription:
     return ReplicaDescription(
         replica_id=name,
         kind=ReplicaKind.SERVICE,
--- a/src/crowsill_lab/engine/core.py
+++ b/src/crowsill_lab/engine/core.py
@@ -1,4 +1,4 @@
-"""The emulated engine's state: memory, residency, orders, batch and streams."""
+"""State of an emulated engine: memory, resident models, orders, batch and streams."""
 
 import asyncio
 import heapq
@@ -12,27 +12,27 @@
 from crowsill.backends.wire import STREAM_END, OrderBody
 from crowsill_lab.settings import EngineShape
 
-KEPT_STREAMS = 2000
-KEPT_EVENTS = 400
+MAX_STREAMS = 2000
+MAX_EVENTS = 400
 PREFIX_BYTES = 256
 
 
 @dataclass(eq=False)
 class Sequence:
-    """One request in the engine.
+    """One request in an engine.
 
     Attributes:
-        request_id: The request.
+        request_id: Id of the request.
         resource: `model` or `model:adapter`.
         prompt: The prompt.
-        prefix: Hash of the prompt's start, as the caller gave it; 0 for none.
-        tokens: Tokens to generate.
-        priority: Smaller goes first.
-        output: Bytes generated so far, as a stream of events.
-        text: Text generated so far.
-        done: Whether it is complete.
-        cancelled: Whether it was cancelled.
-        changed: Set whenever `output`, `done` or `cancelled` changes.
+        prefix: Hash of the start of the prompt, from the request header; 0 for none.
+        tokens: Number of tokens to generate.
+        priority: Sequences with a smaller value run first.
+        output: Server-sent events generated so far.
+        text: Tokens generated so far.
+        is_done: Whether all tokens are generated.
+        is_cancelled: Whether it was cancelled.
+        changed: Set whenever `output`, `is_done` or `is_cancelled` changes.
     """
 
     request_id: str
@@ -43,8 +43,8 @@
     priority: int
     output: bytearray = field(default_factory=bytearray)
     text: list[str] = field(default_factory=list)
-    done: bool = False
-    cancelled: bool = False
+    is_done: bool = False
+    is_cancelled: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def emit(self) -> None:
@@ -53,13 +53,13 @@
         self.text.append(token)
         self.output += b'data: {"choices":[{"text":"' + token.encode() + b'"}]}\n\n'
         if len(self.text) >= self.tokens:
-            self.done = True
+            self.is_done = True
             self.output += STREAM_END
         self.changed.set()
 
 
 class ExportedSequence(msgspec.Struct, frozen=True):
-    """A request's state on its way to another engine."""
+    """State of a request for the transfer to another engine."""
 
     resource: str
     prompt: bytes
@@ -70,7 +70,18 @@
 
 @dataclass
 class EngineCounters:
-    """What the lab asks an engine about at the end of a run."""
+    """Counters that the lab reads at the end of a run.
+
+    Attributes:
+        executions: Requests that were queued.
+        overcommits: Load orders that exceeded the memory.
+        loads: Finished loads.
+        unloads: Finished unloads.
+        stale_orders: Orders with an older fence.
+        prefix_hits: Prompts whose start was in the prefix cache.
+        prefix_misses: Prompts with a prefix that was not in the cache.
+        last_new_work_s: Unix time of the last accepted request.
+    """
 
     executions: int = 0
     overcommits: int = 0
@@ -86,10 +97,10 @@
     """An engine with continuous batching.
 
     Attributes:
-        resident: Memory by resource that answers now.
-        loading: Memory by resource on its way.
-        leaving: Whether new work is refused.
-        counters: What happened.
+        resident: Memory in MiB of each resident resource.
+        loading: Memory in MiB of each resource that is loading.
+        draining: Whether new work is rejected.
+        counters: Counters of events since the start.
     """
 
     def __init__(self, shape: EngineShape, incarnation: str) -> None:
@@ -97,7 +108,7 @@
         self.incarnation = incarnation
         self.resident: dict[str, int] = {}
         self.loading: dict[str, int] = {}
-        self.leaving = False
+        self.draining = False
         self.counters = EngineCounters()
         self._waiting: list[tuple[int, int, Sequence]] = []
         self._running: list[Sequence] = []
@@ -105,47 +116,47 @@
         self._prefixes: OrderedDict[int, None] = OrderedDict()
         self._events: list[CacheEvent] = []
         self._first_event = 1
-        self._number = itertools.count()
+        self._sequence_number = itertools.count()
         self._fence = (0, 0)
-        self._work = asyncio.Event()
+        self._has_work = asyncio.Event()
 
     @property
     def running(self) -> int:
-        """Sequences in the batch."""
+        """Number of sequences in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Sequences that wait for the batch."""
+        """Number of sequences that wait for the batch."""
         return len(self._waiting)
 
     @property
     def used_mib(self) -> int:
-        """Memory taken by what is resident and what is being loaded."""
+        """Memory of resident and loading resources in MiB."""
         return sum(self.resident.values()) + sum(self.loading.values())
 
     def submit(self, sequence: Sequence) -> None:
         """Queue a request."""
         self.counters.executions += 1
         self._streams[sequence.request_id] = sequence
-        while len(self._streams) > KEPT_STREAMS:
+        while len(self._streams) > MAX_STREAMS:
             self._streams.popitem(last=False)
-        heapq.heappush(self._waiting, (sequence.priority, next(self._number), sequence))
-        self._work.set()
+        heapq.heappush(self._waiting, (sequence.priority, next(self._sequence_number), sequence))
+        self._has_work.set()
 
     def find(self, request_id: str) -> Sequence | None:
-        """Return a kept stream."""
+        """Return the sequence of a request, or None if it is no longer stored."""
         return self._streams.get(request_id)
 
     def cancel(self, request_id: str) -> None:
         """Stop generating for a request."""
         sequence = self._streams.get(request_id)
-        if sequence is not None and not sequence.done:
-            sequence.cancelled = True
+        if sequence is not None and not sequence.is_done:
+            sequence.is_cancelled = True
             sequence.changed.set()
 
     def check_order(self, order: OrderBody) -> int:
-        """Check an order's incarnation and fence; return an HTTP status, 202 if it is taken."""
+        """Check an order's incarnation and fence; return an HTTP status, 202 if it is accepted."""
         if not self.shape.checks_fence:
             return 202
         if order.incarnation != self.incarnation:
@@ -158,7 +169,7 @@
         return 202
 
     def reserve(self, order: OrderBody) -> bool:
-        """Take memory for a load; an overcommit is counted loudly and refused."""
+        """Reserve memory for a load; count and reject an overcommit."""
         if order.resource in self.resident or order.resource in self.loading:
             return True
         if self.used_mib + order.memory_mib > self.shape.memory_mib:
@@ -167,13 +178,13 @@
         self.loading[order.resource] = order.memory_mib
         return True
 
-    def loaded(self, resource: str) -> None:
-        """Finish a load."""
+    def finish_load(self, resource: str) -> None:
+        """Make a loading resource resident."""
         self.resident[resource] = self.loading.pop(resource)
         self.counters.loads += 1
 
     def unload(self, order: OrderBody) -> None:
-        """Drop a resource at once."""
+        """Remove a resource immediately."""
         if self.resident.pop(order.resource, None) is not None:
             self.counters.unloads += 1
 
@@ -186,27 +197,27 @@
         elif sequence.prefix:
             self.counters.prefix_misses += 1
             self._prefixes[sequence.prefix] = None
-            self._note(CacheEvent(sequence.prefix, True))
+            self._append_event(CacheEvent(sequence.prefix, True))
             if len(self._prefixes) > self.shape.prefix_cache_entries:
                 evicted, _ = self._prefixes.popitem(last=False)
-                self._note(CacheEvent(evicted, False))
+                self._append_event(CacheEvent(evicted, False))
         return self.shape.prefill_ms_per_100_bytes * size / 100 / 1000
 
-    def _note(self, event: CacheEvent) -> None:
-        """Keep an event for those who ask; the oldest are lost."""
+    def _append_event(self, event: CacheEvent) -> None:
+        """Store an event for readers; the oldest ones are dropped beyond `MAX_EVENTS`."""
         self._events.append(event)
-        if len(self._events) > KEPT_EVENTS:
-            del self._events[: KEPT_EVENTS // 2]
-            self._first_event += KEPT_EVENTS // 2
+        if len(self._events) > MAX_EVENTS:
+            del self._events[: MAX_EVENTS // 2]
+            self._first_event += MAX_EVENTS // 2
 
     def events_after(self, number: int) -> CacheEvents:
-        """Return the events after a number, as far as they are still kept."""
+        """Return the events after a number that are still stored."""
         skip = max(0, number - self._first_event + 1)
         first = self._first_event + skip
         return CacheEvents(self.incarnation, first, self._events[skip:])
 
     def export_kv(self, request_id: str) -> bytes | None:
-        """Return a request's state, or None when it is not known."""
+        """Return the state of a request, or None if the request is unknown."""
         sequence = self._streams.get(request_id)
         if sequence is None:
             return None
@@ -216,39 +227,41 @@
         return msgspec.json.encode(exported)
 
     def import_kv(self, request_id: str, data: bytes) -> None:
-        """Go on with a request from another engine's state."""
+        """Continue a request with state that another engine exported."""
         exported = msgspec.json.decode(data, type=ExportedSequence)
         sequence = Sequence(
             request_id, exported.resource, exported.prompt, exported.prefix, exported.tokens, 0
         )
         for _ in exported.text:
             sequence.emit()
-        if sequence.done:
+        if sequence.is_done:
             self._streams[request_id] = sequence
         else:
             self.submit(sequence)
 
     async def run(self) -> None:
-        """Step the batch for as long as the engine runs."""
+        """Run the steps of the batch until cancelled."""
         while True:
             prefill_s = self._fill_batch()
             if not self._running:
-                self._work.clear()
-                await self._work.wait()
+                self._has_work.clear()
+                await self._has_work.wait()
                 continue
             step_ms = self.shape.step_base_ms
             step_ms += self.shape.step_per_sequence_ms * len(self._running)
             await asyncio.sleep(step_ms / 1000 + prefill_s)
             for sequence in self._running:
-                if not sequence.cancelled:
+                if not sequence.is_cancelled:
                     sequence.emit()
-            self._running = [item for item in self._running if not item.done and not item.cancelled]
+            self._running = [
+                item for item in self._running if not item.is_done and not item.is_cancelled
+            ]
 
     def _fill_batch(self) -> float:
         prefill_s = 0.0
         while self._waiting and len(self._running) < self.shape.slots:
             _, _, sequence = heapq.heappop(self._waiting)
-            if not sequence.cancelled:
+            if not sequence.is_cancelled:
                 prefill_s += self._prefill_s(sequence)
                 self._running.append(sequence)
         return prefill_s
--- a/src/crowsill_lab/engine/server.py
+++ b/src/crowsill_lab/engine/server.py
@@ -1,4 +1,4 @@
-"""The emulated engine's HTTP interface."""
+"""HTTP interface of an emulated engine."""
 
 import asyncio
 import secrets
@@ -41,12 +41,12 @@
 
 
 class EngineFaults(msgspec.Struct):
-    """Faults the lab switches on.
+    """Faults that the lab enables.
 
     Attributes:
-        fail_ratio: Share of completions answered with status 500.
-        break_ratio: Share of streams whose connection is cut once.
-        delay_orders_s: Delay before an order is looked at.
+        fail_ratio: Share of completions that fail with status 500.
+        break_ratio: Share of streams whose connection is aborted once.
+        delay_orders_s: Delay before an order is processed.
     """
 
     fail_ratio: float = 0.0
@@ -58,12 +58,12 @@
     """Serves one emulated engine."""
 
     def __init__(self, shape: EngineShape, store: str, report_lag_s: float) -> None:
-        """Make a server.
+        """Initialize the server.
 
         Args:
-            shape: The engine's properties.
+            shape: Properties of the engine.
             store: `IP:port` of the weight store.
-            report_lag_s: Age of what reports tell.
+            report_lag_s: Delay of load reports.
         """
         self.core = EngineCore(shape, secrets.token_hex(4))
         self.faults = EngineFaults()
@@ -88,7 +88,7 @@
         application.router.add_post(PATH_ORDERS, self.order)
         application.router.add_get("/lab/counters", self.lab_counters)
         application.router.add_post("/lab/faults", self.lab_faults)
-        application.router.add_post("/lab/leave", self.lab_leave)
+        application.router.add_post("/lab/leave", self.lab_drain)
         application.on_startup.append(self._start)
         application.on_cleanup.append(self._stop)
         return application
@@ -116,18 +116,18 @@
                 sorted(self.core.resident),
                 self.core.running,
                 self.core.waiting,
-                self.core.leaving,
+                self.core.draining,
                 sorted(self.core.loading),
             )
             await asyncio.sleep(self._report_lag_s)
             self._report = report
 
     async def report(self, _request: web.Request) -> web.Response:
-        """`GET /v1/report`: what the engine says of itself, late."""
+        """`GET /v1/report`: the load report, delayed by `report_lag_s`."""
         return web.json_response(body=msgspec.json.encode(self._report))
 
     async def cache_events(self, request: web.Request) -> web.Response:
-        """`GET /v1/cache-events?after=N`: late, and lossy where the caller is too slow."""
+        """`GET /v1/cache-events?after=N`: cache events; slow readers miss the oldest ones."""
         events = self.core.events_after(int(request.query.get("after", "0")))
         return web.json_response(body=msgspec.json.encode(events))
 
@@ -137,18 +137,18 @@
         return web.Response(status=404) if exported is None else web.Response(body=exported)
 
     async def import_kv(self, request: web.Request) -> web.Response:
-        """`PUT /v1/kv/{id}`: go on with a request from another engine."""
+        """`PUT /v1/kv/{id}`: continue a request of another engine."""
         self.core.import_kv(request.match_info["request_id"], await request.read())
         return web.Response(status=204)
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """`POST /v1/completions`."""
+        """`POST /v1/completions`: run a completion."""
         request_id = request.headers.get(HEADER_REQUEST_ID, secrets.token_hex(8))
         body = msgspec.json.decode(await request.read(), type=_CompletionBody)
-        if self.core.leaving:
-            return _refusal(FailureReason.DRAINING, request_id)
+        if self.core.draining:
+            return _rejection(FailureReason.DRAINING, request_id)
         if body.model not in self.core.resident:
-            return _refusal(FailureReason.NOT_LOADED, request_id)
+            return _rejection(FailureReason.NOT_LOADED, request_id)
         self.core.counters.last_new_work_s = time.time()
         if self._random.random() < self.faults.fail_ratio:
             return web.Response(status=500, headers={HEADER_REQUEST_ID: request_id})
@@ -159,39 +159,39 @@
         self.core.submit(sequence)
         if body.stream:
             return await self._stream(request, sequence, 0)
-        return await self._whole(sequence)
+        return await self._complete_response(sequence)
 
-    async def _whole(self, sequence: Sequence) -> web.Response:
-        while not sequence.done:
+    async def _complete_response(self, sequence: Sequence) -> web.Response:
+        while not sequence.is_done:
             sequence.changed.clear()
             await sequence.changed.wait()
-        answer = {"model": sequence.resource, "choices": [{"text": "".join(sequence.text)}]}
+        response_body = {"model": sequence.resource, "choices": [{"text": "".join(sequence.text)}]}
         headers = {HEADER_REQUEST_ID: sequence.request_id}
-        return web.json_response(answer, headers=headers)
+        return web.json_response(response_body, headers=headers)
 
     async def _stream(
         self, request: web.Request, sequence: Sequence, offset: int
     ) -> web.StreamResponse:
         headers = {HEADER_REQUEST_ID: sequence.request_id, "Content-Type": CONTENT_TYPE_STREAM}
         response = web.StreamResponse(headers=headers)
-        while len(sequence.output) <= offset and not sequence.done and not sequence.cancelled:
+        while len(sequence.output) <= offset and not sequence.is_done and not sequence.is_cancelled:
             await sequence.changed.wait()
             sequence.changed.clear()
         await response.prepare(request)
-        breaks = offset == 0 and self._random.random() < self.faults.break_ratio
+        cuts_connection = offset == 0 and self._random.random() < self.faults.break_ratio
         while True:
             if len(sequence.output) > offset:
                 chunk = bytes(sequence.output[offset:])
                 offset += len(chunk)
                 await response.write(chunk)
-                if breaks and request.transport is not None:
+                if cuts_connection and request.transport is not None:
                     request.transport.abort()
                     return response
-            if sequence.cancelled:
+            if sequence.is_cancelled:
                 if request.transport is not None:
                     request.transport.abort()
                 return response
-            if sequence.done and len(sequence.output) <= offset:
+            if sequence.is_done and len(sequence.output) <= offset:
                 await response.write_eof()
                 return response
             sequence.changed.clear()
@@ -199,9 +199,9 @@
                 await sequence.changed.wait()
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
-        """`GET /v1/streams/{id}?offset=N`: go on with a stream."""
+        """`GET /v1/streams/{id}?offset=N`: resume a stream at a byte offset."""
         sequence = self.core.find(request.match_info["request_id"])
-        if sequence is None or sequence.cancelled:
+        if sequence is None or sequence.is_cancelled:
             return web.Response(status=404)
         return await self._stream(request, sequence, int(request.query.get("offset", "0")))
 
@@ -211,7 +211,7 @@
         return web.Response(status=204)
 
     async def order(self, request: web.Request) -> web.Response:
-        """`POST /v1/orders`: load or unload; the effect shows in a later report."""
+        """`POST /v1/orders`: load or unload a model; a later report shows the effect."""
         if self.faults.delay_orders_s:
             await asyncio.sleep(self.faults.delay_orders_s)
         order = msgspec.json.decode(await request.read(), type=OrderBody)
@@ -221,10 +221,10 @@
         if order.kind == OrderKind.UNLOAD:
             self.core.unload(order)
             return web.Response(status=202)
-        known = order.resource in self.core.resident or order.resource in self.core.loading
+        is_known = order.resource in self.core.resident or order.resource in self.core.loading
         if not self.core.reserve(order):
             return web.Response(status=507)
-        if not known:
+        if not is_known:
             self._spawn(self._load(order))
         return web.Response(status=202)
 
@@ -240,23 +240,23 @@
             except aiohttp.ClientError:
                 pass
             await asyncio.sleep(STORE_RETRY_S)
-        self.core.loaded(order.resource)
+        self.core.finish_load(order.resource)
 
     async def lab_counters(self, _request: web.Request) -> web.Response:
-        """`GET /lab/counters`."""
+        """`GET /lab/counters`: the engine's counters."""
         return web.json_response(asdict(self.core.counters))
 
     async def lab_faults(self, request: web.Request) -> web.Response:
-        """`POST /lab/faults`: switch faults on or off."""
+        """`POST /lab/faults`: set the faults."""
         self.faults = msgspec.json.decode(await request.read(), type=EngineFaults)
         return web.Response(status=204)
 
-    async def lab_leave(self, _request: web.Request) -> web.Response:
-        """`POST /lab/leave`: refuse new work from the next report on."""
-        self.core.leaving = True
+    async def lab_drain(self, _request: web.Request) -> web.Response:
+        """`POST /lab/leave`: drain; the engine rejects new work from now on."""
+        self.core.draining = True
         return web.json_response({"at_s": time.time()})
 
 
-def _refusal(reason: FailureReason, request_id: str) -> web.Response:
+def _rejection(reason: FailureReason, request_id: str) -> web.Response:
     headers = {HEADER_NOT_RUN: reason, HEADER_REQUEST_ID: request_id}
     return web.Response(status=503, headers=headers)
--- a/src/crowsill_lab/load/__init__.py
+++ b/src/crowsill_lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load with checked answers."""
+"""Open-loop load generator that checks the responses."""
--- a/src/crowsill_lab/load/balancer.py
+++ b/src/crowsill_lab/load/balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer: sends connections to entries that were ready a moment ago."""
+"""An emulated load balancer of the platform, with periodic readiness probes."""
 
 import asyncio
 import itertools
@@ -10,35 +10,37 @@
 
 
 class Balancer:
-    """Round robin over entries whose last probe found them ready.
+    """Selects entries in round robin among those whose last readiness probe succeeded.
 
     Attributes:
-        ready: Entries that receive requests.
+        ready: `IP:port` of the entries that receive requests.
     """
 
     def __init__(self, entries: list[str]) -> None:
-        """Make a balancer.
+        """Initialize the balancer.
 
         Args:
             entries: `IP:port` of each entry.
         """
         self.entries = entries
         self.ready: list[str] = []
-        self._turn = itertools.count()
+        self._counter = itertools.count()
 
     def pick(self, avoid: str = "") -> str | None:
-        """Return the next ready entry, another than `avoid` if there is one."""
-        choices = [entry for entry in self.ready if entry != avoid] or self.ready
-        if not choices:
+        """Return the next ready entry, other than `avoid` if possible; None if none is ready."""
+        candidates = [entry for entry in self.ready if entry != avoid] or self.ready
+        if not candidates:
             return None
-        return choices[next(self._turn) % len(choices)]
+        return candidates[next(self._counter) % len(candidates)]
 
     async def run(self) -> None:
         """Probe readiness until cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
-                found = await asyncio.gather(*(self._probe(session, item) for item in self.entries))
-                ready = zip(self.entries, found, strict=True)
+                results = await asyncio.gather(
+                    *(self._probe(session, item) for item in self.entries)
+                )
+                ready = zip(self.entries, results, strict=True)
                 self.ready = [entry for entry, is_ready in ready if is_ready]
                 await asyncio.sleep(POLL_S)
 
@@ -51,10 +53,10 @@
             return False
 
     async def wait_ready(self, count: int, timeout_s: float) -> bool:
-        """Wait until so many entries are ready; return whether they are."""
-        deadline_s = asyncio.get_running_loop().time() + timeout_s
+        """Wait until `count` entries are ready; return whether they are within the timeout."""
+        deadline_at_s = asyncio.get_running_loop().time() + timeout_s
         while len(self.ready) < count:
-            if asyncio.get_running_loop().time() > deadline_s:
+            if asyncio.get_running_loop().time() > deadline_at_s:
                 return False
             await asyncio.sleep(0.05)
         return True
--- a/src/crowsill_lab/load/generator.py
+++ b/src/crowsill_lab/load/generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load: Poisson arrivals with bursts, whatever the answers do."""
+"""Open-loop load: Poisson arrivals with bursts, independent of the responses."""
 
 import asyncio
 import random
@@ -18,25 +18,25 @@
 
 @dataclass
 class LoadResult:
-    """Everything one run of load brought."""
+    """Results of one run of the load."""
 
     tallies: dict[str, Tally] = field(default_factory=dict)
     keys: KeyLedger = field(default_factory=KeyLedger)
 
 
 class LoadGenerator:
-    """Drives the traffic of a deployment for a bounded time."""
+    """Generates the traffic of a deployment for a limited time."""
 
     def __init__(
         self, deployment: LabDeployment, balancer: Balancer, seed: int, rate_factor: float = 1.0
     ) -> None:
-        """Make a generator.
+        """Initialize the generator.
 
         Args:
-            deployment: The traffic and the tokens.
-            balancer: Picks entries.
-            seed: Seed of arrivals and choices.
-            rate_factor: Multiplies all rates.
+            deployment: Defines the traffic and the tokens.
+            balancer: Selects entries.
+            seed: Seed of arrival times and other random choices.
+            rate_factor: Factor for all rates.
         """
         self._deployment = deployment
         self._balancer = balancer
@@ -46,36 +46,38 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, duration_s: float) -> LoadResult:
-        """Send for `duration_s`, then wait for the answers still under way."""
+        """Send requests for `duration_s`, then wait for the outstanding responses."""
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=5)
         async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
             caller = Caller(session, self._balancer, self._deployment.tokens, self.result.keys)
-            sources = [
-                self._source(shape, caller, random.Random(f"{self._seed}/{shape.name}"), duration_s)
+            generators = [
+                self._generate_traffic(
+                    shape, caller, random.Random(f"{self._seed}/{shape.name}"), duration_s
+                )
                 for shape in self._deployment.traffic
             ]
-            await asyncio.gather(*sources)
+            await asyncio.gather(*generators)
             while self._tasks:
                 await asyncio.wait(self._tasks)
         return self.result
 
-    async def _source(
-        self, shape: TrafficShape, caller: Caller, source: random.Random, duration_s: float
+    async def _generate_traffic(
+        self, shape: TrafficShape, caller: Caller, random_source: random.Random, duration_s: float
     ) -> None:
         tally = self.result.tallies.setdefault(shape.name, Tally())
         loop = asyncio.get_running_loop()
-        started_s = loop.time()
-        next_s = 0.0
+        started_at_s = loop.time()
+        arrival_s = 0.0
         while True:
-            rate = shape.requests_per_s * self._rate_factor * _burst_factor(shape, next_s)
-            next_s += source.expovariate(rate)
-            if next_s >= duration_s:
+            rate = shape.requests_per_s * self._rate_factor * _burst_factor(shape, arrival_s)
+            arrival_s += random_source.expovariate(rate)
+            if arrival_s >= duration_s:
                 return
-            await asyncio.sleep(max(0.0, started_s + next_s - loop.time()))
-            planned = plan_request(shape, source)
-            twice = source.random() < shape.resend_ratio
-            task = asyncio.create_task(caller.run(planned, tally, twice))
+            await asyncio.sleep(max(0.0, started_at_s + arrival_s - loop.time()))
+            planned = plan_request(shape, random_source)
+            send_twice = random_source.random() < shape.resend_ratio
+            task = asyncio.create_task(caller.run(planned, tally, send_twice))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -86,12 +88,16 @@
     return shape.burst_factor
 
 
-def plan_request(shape: TrafficShape, source: random.Random) -> PlannedRequest:
-    """Draw a request: a popular model more often, one of a few shared prompt starts."""
+def plan_request(shape: TrafficShape, random_source: random.Random) -> PlannedRequest:
+    """Draw a request: popular models are more frequent, and prompts share a few starts."""
     model = ""
     if shape.models:
         weights = [1.0 / (rank + 1) ** ZIPF_EXPONENT for rank in range(len(shape.models))]
-        model = source.choices(shape.models, weights)[0]
-    tokens = max(1, int(source.expovariate(1.0 / shape.tokens)))
-    start = f"shared prompt {source.randrange(SHARED_PROMPTS)} ".ljust(shape.prompt_bytes, "x")
-    return PlannedRequest(shape, model, min(tokens, shape.tokens * 4), f"{start}{source.random()}")
+        model = random_source.choices(shape.models, weights)[0]
+    tokens = max(1, int(random_source.expovariate(1.0 / shape.tokens)))
+    prompt_start = f"shared prompt {random_source.randrange(SHARED_PROMPTS)} ".ljust(
+        shape.prompt_bytes, "x"
+    )
+    return PlannedRequest(
+        shape, model, min(tokens, shape.tokens * 4), f"{prompt_start}{random_source.random()}"
+    )
--- a/src/crowsill_lab/load/requests.py
+++ b/src/crowsill_lab/load/requests.py
@@ -1,4 +1,4 @@
-"""One request of the load: sending it, checking that the answer is whole and its own."""
+"""Sends requests of the load and checks that each response is complete and matches its request."""
 
 import asyncio
 import json
@@ -14,13 +14,20 @@
 from crowsill_lab.load.tally import KeyLedger, Tally
 from crowsill_lab.settings import TrafficShape
 
-MAX_TRIES = 6
-RETRY_S = 0.3
+MAX_ATTEMPTS = 6
+RETRY_DELAY_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One request before it is sent."""
+    """A request before it is sent.
+
+    Attributes:
+        shape: Kind of load that it belongs to.
+        model: Requested model; empty for a service.
+        tokens: Number of tokens to generate.
+        prompt: Prompt of a model request, or content of a service call.
+    """
 
     shape: TrafficShape
     model: str
@@ -29,30 +36,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """What one try brought.
+class ReceivedResponse:
+    """The result of one attempt.
 
     Attributes:
-        status: HTTP status; 0 when the connection failed before any byte of an answer.
-        body: The body, or what arrived of it.
-        request_id: Request id in the answer.
+        status: HTTP status; 0 if the connection failed before a response.
+        body: The received part of the body.
+        request_id: Request id in the response; prefixed with `foreign:` if it belongs to another
+            request.
         first_byte_s: Time to the first byte.
-        whole_s: Time to the last byte.
-        broken: Whether the connection broke while the answer arrived.
-        connected: Whether a connection was made.
+        last_byte_s: Time to the last byte.
+        broken: Whether the connection failed before the response was complete.
+        connected: Whether a connection was established.
     """
 
     status: int
     body: bytes
     request_id: str
     first_byte_s: float
-    whole_s: float
+    last_byte_s: float
     broken: bool = False
     connected: bool = True
 
 
 class Caller:
-    """Sends requests of one deployment's load."""
+    """Sends the requests of the load of one deployment."""
 
     def __init__(
         self,
@@ -67,34 +75,35 @@
         self._ledger = ledger
 
     async def run(self, planned: PlannedRequest, tally: Tally, send_twice: bool) -> None:
-        """Send a request until it is answered or finally refused, and count the result.
+        """Send a request until it is served or finally rejected, and count the result.
 
         Args:
             planned: The request.
-            tally: Where it is counted.
-            send_twice: Whether an unsafe call is sent again after its answer, as after a loss.
+            tally: Counts the result.
+            send_twice: Whether an unsafe call is sent again after its response, as by a caller that
+                did not receive it.
         """
         tally.sent += 1
         key = uuid.uuid4().hex if planned.shape.unsafe else ""
         entry = ""
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             picked = self._balancer.pick(entry)
             if picked is None:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             entry = picked
             tally.resent += attempt > 0
-            reply = await self._send(entry, planned, key)
-            if self._take(planned, tally, key, reply):
+            received = await self._send(entry, planned, key)
+            if self._count_response(planned, tally, key, received):
                 break
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         if send_twice and key in self._ledger.answered and entry:
             tally.resent += 1
-            reply = await self._send(self._balancer.pick(entry) or entry, planned, key)
-            if reply.status == 200 and not _is_own_call(reply, key):
+            received = await self._send(self._balancer.pick(entry) or entry, planned, key)
+            if received.status == 200 and not _is_own_call(received, key):
                 tally.foreign += 1
 
-    async def _send(self, entry: str, planned: PlannedRequest, key: str) -> Reply:
+    async def _send(self, entry: str, planned: PlannedRequest, key: str) -> ReceivedResponse:
         shape = planned.shape
         request_id = uuid.uuid4().hex
         headers = {
@@ -114,95 +123,103 @@
 
     async def _exchange(
         self, url: str, headers: dict[str, str], body: bytes, request_id: str
-    ) -> Reply:
-        started_s = time.perf_counter()
-        status, parts, answered_id, first_byte_s = 0, [], request_id, 0.0
+    ) -> ReceivedResponse:
+        started_at_s = time.perf_counter()
+        status, chunks, response_id, first_byte_s = 0, [], request_id, 0.0
         broken, connected = False, True
         try:
             async with self._session.post(url, data=body, headers=headers) as response:
                 status = response.status
-                answered_id = response.headers.get(HEADER_REQUEST_ID, "")
-                while part := await response.content.readany():
-                    first_byte_s = first_byte_s or time.perf_counter() - started_s
-                    parts.append(part)
+                response_id = response.headers.get(HEADER_REQUEST_ID, "")
+                while chunk := await response.content.readany():
+                    first_byte_s = first_byte_s or time.perf_counter() - started_at_s
+                    chunks.append(chunk)
         except aiohttp.ClientConnectorError:
             connected = False
         except (aiohttp.ClientError, OSError, TimeoutError):
             broken = True
-        whole_s = time.perf_counter() - started_s
-        if answered_id != request_id:
-            answered_id = f"foreign:{answered_id}"
-        joined = b"".join(parts)
-        return Reply(status, joined, answered_id, first_byte_s, whole_s, broken, connected)
-
-    def _take(self, planned: PlannedRequest, tally: Tally, key: str, reply: Reply) -> bool:
-        """Count a try; return whether it is the last word."""
-        if not reply.connected:
+        last_byte_s = time.perf_counter() - started_at_s
+        if response_id != request_id:
+            response_id = f"foreign:{response_id}"
+        body_bytes = b"".join(chunks)
+        return ReceivedResponse(
+            status, body_bytes, response_id, first_byte_s, last_byte_s, broken, connected
+        )
+
+    def _count_response(
+        self, planned: PlannedRequest, tally: Tally, key: str, received: ReceivedResponse
+    ) -> bool:
+        """Count the result of an attempt; return whether it is final."""
+        if not received.connected:
             tally.unreachable += 1
             return False
-        if reply.broken or reply.status == 0:
+        if received.broken or received.status == 0:
             tally.broken += 1
-            self._note(key, self._ledger.unknown)
+            self._set_outcome(key, self._ledger.unknown)
             return False
-        if reply.request_id.startswith("foreign:"):
+        if received.request_id.startswith("foreign:"):
             tally.foreign += 1
             return True
-        if reply.status == 200:
-            return self._take_answer(planned, tally, key, reply)
-        return self._take_refusal(tally, key, reply)
+        if received.status == 200:
+            return self._count_success(planned, tally, key, received)
+        return self._count_rejection(tally, key, received)
 
-    def _take_answer(self, planned: PlannedRequest, tally: Tally, key: str, reply: Reply) -> bool:
+    def _count_success(
+        self, planned: PlannedRequest, tally: Tally, key: str, received: ReceivedResponse
+    ) -> bool:
         shape = planned.shape
         if shape.service:
-            own = _is_own_call(reply, key)
-            whole = True
+            is_own = _is_own_call(received, key)
+            is_complete = True
         else:
-            whole, own = _check_completion(planned, reply)
-        tally.foreign += not own
-        tally.truncated += not whole
-        if own and whole:
-            tally.answer(reply.first_byte_s, reply.whole_s, shape.target_ms, planned.tokens)
-            self._note(key, self._ledger.answered)
+            is_complete, is_own = _check_completion(planned, received)
+        tally.foreign += not is_own
+        tally.truncated += not is_complete
+        if is_own and is_complete:
+            tally.add_success(
+                received.first_byte_s, received.last_byte_s, shape.target_ms, planned.tokens
+            )
+            self._set_outcome(key, self._ledger.answered)
         return True
 
-    def _take_refusal(self, tally: Tally, key: str, reply: Reply) -> bool:
+    def _count_rejection(self, tally: Tally, key: str, received: ReceivedResponse) -> bool:
         try:
-            error = json.loads(reply.body)
+            error = json.loads(received.body)
         except ValueError:
             tally.truncated += 1
             return True
-        tally.refuse(error["kind"])
-        known_unknown = key in self._ledger.unknown
-        if error["outcome"] == "not_run" and not known_unknown:
-            self._note(key, self._ledger.not_run)
+        tally.add_rejection(error["kind"])
+        is_unknown = key in self._ledger.unknown
+        if error["outcome"] == "not_run" and not is_unknown:
+            self._set_outcome(key, self._ledger.not_run)
         elif error["outcome"] != "not_run":
-            self._note(key, self._ledger.unknown)
+            self._set_outcome(key, self._ledger.unknown)
         return not error["retryable"]
 
-    def _note(self, key: str, target: set[str]) -> None:
+    def _set_outcome(self, key: str, target: set[str]) -> None:
         if not key:
             return
-        for known in (self._ledger.not_run, self._ledger.unknown, self._ledger.answered):
-            known.discard(key)
+        for outcome_keys in (self._ledger.not_run, self._ledger.unknown, self._ledger.answered):
+            outcome_keys.discard(key)
         target.add(key)
 
 
-def _is_own_call(reply: Reply, key: str) -> bool:
+def _is_own_call(received: ReceivedResponse, key: str) -> bool:
     try:
-        return bool(json.loads(reply.body)["key"] == key)
+        return bool(json.loads(received.body)["key"] == key)
     except (ValueError, KeyError):
         return False
 
 
-def _check_completion(planned: PlannedRequest, reply: Reply) -> tuple[bool, bool]:
-    """Return whether a completion is whole, and whether it is the request's own."""
+def _check_completion(planned: PlannedRequest, received: ReceivedResponse) -> tuple[bool, bool]:
+    """Return whether a completion is complete, and whether it belongs to the request."""
     if planned.shape.streamed:
-        whole = reply.body.endswith(STREAM_END)
-        events = [line[6:] for line in reply.body.split(b"\n") if line.startswith(b"data: {")]
+        is_complete = received.body.endswith(STREAM_END)
+        events = [line[6:] for line in received.body.split(b"\n") if line.startswith(b"data: {")]
         text = "".join(json.loads(event)["choices"][0]["text"] for event in events)
     else:
-        whole = True
-        text = json.loads(reply.body)["choices"][0]["text"]
-    expected = "".join(f"{reply.request_id}/{index} " for index in range(planned.tokens))
-    own = all(word.startswith(reply.request_id) for word in text.split())
-    return whole and text == expected, own
+        is_complete = True
+        text = json.loads(received.body)["choices"][0]["text"]
+    expected = "".join(f"{received.request_id}/{index} " for index in range(planned.tokens))
+    is_own = all(word.startswith(received.request_id) for word in text.split())
+    return is_complete and text == expected, is_own
--- a/src/crowsill_lab/platform/__init__.py
+++ b/src/crowsill_lab/platform/__init__.py
@@ -1,1 +1,1 @@
-"""An emulated list of machines."""
+"""An emulated list of machines of the platform."""
--- a/src/crowsill_lab/platform/server.py
+++ b/src/crowsill_lab/platform/server.py
@@ -1,4 +1,4 @@
-"""An emulated list of machines that lags behind the truth."""
+"""An emulated list of machines that shows changes with a delay."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 
 
 class PlatformServer:
-    """Serves the list as it was `lag_s` ago."""
+    """HTTP server of the list of machines as it was `lag_s` ago."""
 
     def __init__(self, machines: list[ReplicaDescription], lag_s: float) -> None:
-        self._truth = {machine.replica_id: machine for machine in machines}
-        self._shown = dict(self._truth)
+        self._current = {machine.replica_id: machine for machine in machines}
+        self._listed = dict(self._current)
         self._lag_s = lag_s
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -22,34 +22,34 @@
         """Return the aiohttp application."""
         application = web.Application()
         application.router.add_get(PATH_MACHINES, self.machines)
-        application.router.add_post("/lab/leaving/{replica_id}", self.lab_leaving)
-        application.router.add_post("/lab/gone/{replica_id}", self.lab_gone)
+        application.router.add_post("/lab/leaving/{replica_id}", self.lab_drain)
+        application.router.add_post("/lab/gone/{replica_id}", self.lab_remove)
         return application
 
     async def machines(self, _request: web.Request) -> web.Response:
-        """`GET /v1/machines`."""
-        body = msgspec.json.encode(MachineList(list(self._shown.values())))
+        """`GET /v1/machines`: the list of machines."""
+        body = msgspec.json.encode(MachineList(list(self._listed.values())))
         return web.json_response(body=body)
 
-    def _show_later(self) -> None:
-        task = asyncio.create_task(self._show(dict(self._truth)))
+    def _list_later(self) -> None:
+        task = asyncio.create_task(self._list_after_lag(dict(self._current)))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _show(self, truth: dict[str, ReplicaDescription]) -> None:
+    async def _list_after_lag(self, current: dict[str, ReplicaDescription]) -> None:
         await asyncio.sleep(self._lag_s)
-        self._shown = truth
+        self._listed = current
 
-    async def lab_leaving(self, request: web.Request) -> web.Response:
-        """`POST /lab/leaving/{id}`: the platform wants a machine gone."""
+    async def lab_drain(self, request: web.Request) -> web.Response:
+        """`POST /lab/leaving/{id}`: drain a machine."""
         replica_id = request.match_info["replica_id"]
-        machine = self._truth[replica_id]
-        self._truth[replica_id] = msgspec.structs.replace(machine, draining=True)
-        self._show_later()
+        machine = self._current[replica_id]
+        self._current[replica_id] = msgspec.structs.replace(machine, draining=True)
+        self._list_later()
         return web.Response(status=204)
 
-    async def lab_gone(self, request: web.Request) -> web.Response:
-        """`POST /lab/gone/{id}`: a machine is gone."""
-        self._truth.pop(request.match_info["replica_id"], None)
-        self._show_later()
+    async def lab_remove(self, request: web.Request) -> web.Response:
+        """`POST /lab/gone/{id}`: remove a machine."""
+        self._current.pop(request.match_info["replica_id"], None)
+        self._list_later()
         return web.Response(status=204)
--- a/src/crowsill_lab/service/__init__.py
+++ b/src/crowsill_lab/service/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated plain services."""
+"""Emulated plain services: services without models."""
--- a/src/crowsill_lab/soak/seeded_site.py
+++ b/src/crowsill_lab/soak/seeded_site.py
@@ -168,4 +168,4 @@
         """Terminate every process that was ever started, by its process id."""
         for process in self._started:
             process.send(signal.SIGCONT)
-            process.end()
+            process.terminate()
--- a/src/crowsill_lab/soak/site.py
+++ b/src/crowsill_lab/soak/site.py
@@ -128,7 +128,7 @@
         """Terminate every process by its process id."""
         for process in self.processes():
             process.send(signal.SIGCONT)
-            process.end()
+            process.terminate()
         for member in self.members:
             if member.relay is not None:
                 member.relay.close()
--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -147,7 +147,7 @@
             _, name, incarnation, resource = finished
             core = self.engines[name]
             if core.incarnation == incarnation and resource in core.loading:
-                core.loaded(resource)
+                core.finish_load(resource)
         self.observe()
         self.run_leader()
 
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -88,7 +88,7 @@
         assert not process.hang_up()
         assert process.exit_code is None
     finally:
-        process.end()
+        process.terminate()
 
 
 def test_a_soak_sends_a_hang_up_to_a_program_that_ignores_or_catches_it(tmp_path):
@@ -99,4 +99,4 @@
             time.sleep(0.01)
         assert process.hang_up() and process.exit_code is None
     finally:
-        process.end()
+        process.terminate()
