--- a/src/crowsill_lab/bench/returns.py
+++ b/src/crowsill_lab/bench/returns.py
@@ -1,9 +1,10 @@
-"""What becomes of replicas that shed and ask for rest, for several numbers of gateways: simulated.
+"""Simulation of strategies to resume sending to replicas that shed load and asked for a backoff.
 
-Requests come at random to gateways, which know of replicas only what these answer. A replica runs
-as many as it has places for, and turns others away with a rest. A gateway sends to the replica that
-has the fewest of its own requests, of those that it may send to now, and refuses where there is
-none: nobody waits, so that what is served shows the bound alone.
+Requests arrive at random gateways, which know the replicas only by their responses. A replica runs
+one request per slot, and rejects others with a backoff. Among the replicas that a gateway may send
+to now, it selects the one with the fewest of its own requests in flight. Without such a replica it
+rejects the request: no request waits, so that the share served shows the effect of the strategy
+alone.
 """
 
 import heapq
@@ -15,21 +16,21 @@
 
 from crowsill.gateway.availability import Availability
 
-REST_S = 2.0
-RUN_S = 0.4
+BACKOFF_S = 2.0
+MEAN_RUN_S = 0.4
 REPLICAS = 4
-PLACES = 60
-# What comes, as a share of what all replicas can run.
+SLOTS = 60
+# Demand, as a share of the capacity of all replicas.
 LOADS = (0.9, 1.3)
 GATEWAYS = (3, 9, 90)
-PLAYED_S = 120.0
-SOON_S = 1.0
-
-MayTake = Callable[[Availability, int, float], bool]
-# Ways to return after a rest: all at once, one request first, and that with the bound on what it
-# may have besides.
-WAYS: dict[str, MayTake] = {
-    "all at once": lambda _told, _in_flight, _now_s: True,
+SIMULATED_S = 120.0
+REPEAT_WINDOW_S = 1.0
+
+MaySend = Callable[[Availability, int, float], bool]
+# Strategies to resume after a backoff: without a bound, with a bound on probes that starts at one,
+# and with a further bound on requests in flight.
+STRATEGIES: dict[str, MaySend] = {
+    "all at once": lambda _availability, _in_flight, _now_s: True,
     "one first": lambda availability, _in_flight, _now_s: (
         availability.max_probes is None or availability.probes < availability.max_probes
     ),
@@ -40,15 +41,15 @@
 
 
 class ReturnFigures(msgspec.Struct, frozen=True):
-    """One way to return, at one load and number of gateways.
+    """Result of one strategy, for one load and number of gateways.
 
     Attributes:
-        way: The way.
+        way: The strategy, a key of `STRATEGIES`.
         gateways: Number of gateways.
-        load: What comes, as a share of what all replicas can run.
+        load: Demand, as a share of the capacity of all replicas.
         served: Share of the requests that were served.
-        rests: Rests that a gateway was asked for.
-        again: Share of the rests after which the next one began within a second.
+        rests: Rejections with a backoff.
+        again: Share of these that came within `REPEAT_WINDOW_S` after the end of the last backoff.
     """
 
     way: str
@@ -68,74 +69,95 @@
 
 
 @dataclass(slots=True)
-class _Play:
-    """One simulation."""
+class _Simulation:
+    """State and counts of one simulation.
 
-    may_take: MayTake
+    Attributes:
+        may_send: Strategy: whether a gateway may send to a replica that is not backing off.
+        gateways: Number of gateways.
+        random: Source of arrivals and durations.
+        running: Requests that each replica runs.
+        links: Each gateway's view of each replica.
+        completions: Heap of running requests: time of completion, gateway, replica.
+        requests: Requests that arrived.
+        served: Requests that a replica accepted.
+        backoffs: Rejections with a backoff.
+        repeated_backoffs: Backoffs within `REPEAT_WINDOW_S` after the end of the last one.
+    """
+
+    may_send: MaySend
     gateways: int
     random: Random
     running: list[int] = field(default_factory=lambda: [0] * REPLICAS)
     links: list[list[_Link]] = field(default_factory=list)
-    ends: list[tuple[float, int, int]] = field(default_factory=list)
-    asked: int = 0
+    completions: list[tuple[float, int, int]] = field(default_factory=list)
+    requests: int = 0
     served: int = 0
-    rests: int = 0
-    again: int = 0
+    backoffs: int = 0
+    repeated_backoffs: int = 0
 
-    def play(self, load: float) -> None:
-        """Play it."""
+    def simulate(self, load: float) -> None:
+        """Simulate `SIMULATED_S` seconds at a demand given as a share of the capacity."""
         self.links = [[_Link() for _ in range(REPLICAS)] for _ in range(self.gateways)]
-        rate = load * REPLICAS * PLACES / RUN_S
+        rate = load * REPLICAS * SLOTS / MEAN_RUN_S
         now_s = 0.0
-        while now_s < PLAYED_S:
+        while now_s < SIMULATED_S:
             now_s += self.random.expovariate(rate)
-            while self.ends and self.ends[0][0] <= now_s:
-                _, gateway, replica = heapq.heappop(self.ends)
+            while self.completions and self.completions[0][0] <= now_s:
+                _, gateway, replica = heapq.heappop(self.completions)
                 self.running[replica] -= 1
                 self.links[gateway][replica].in_flight -= 1
             self._arrive(self.random.randrange(self.gateways), now_s)
 
     def _arrive(self, gateway: int, now_s: float) -> None:
-        self.asked += 1
+        self.requests += 1
         links = self.links[gateway]
-        open_to = [
+        candidates = [
             number
             for number, link in enumerate(links)
             if not link.availability.is_backing_off(now_s)
-            and self.may_take(link.availability, link.in_flight, now_s)
+            and self.may_send(link.availability, link.in_flight, now_s)
         ]
-        if not open_to:
+        if not candidates:
             return
-        replica = min(open_to, key=lambda number: (links[number].in_flight, self.random.random()))
+        replica = min(
+            candidates, key=lambda number: (links[number].in_flight, self.random.random())
+        )
         self._send(gateway, replica, now_s)
 
     def _send(self, gateway: int, replica: int, now_s: float) -> None:
         link = self.links[gateway][replica]
         link.in_flight += 1
-        if self.running[replica] >= PLACES:
-            over_s = link.availability.backoff_ends_at_s
-            self.rests += 1
-            self.again += 0.0 < now_s - over_s < SOON_S
-            link.availability.note_backoff(REST_S, now_s, link.in_flight)
+        if self.running[replica] >= SLOTS:
+            last_backoff_ends_at_s = link.availability.backoff_ends_at_s
+            self.backoffs += 1
+            self.repeated_backoffs += 0.0 < now_s - last_backoff_ends_at_s < REPEAT_WINDOW_S
+            link.availability.note_backoff(BACKOFF_S, now_s, link.in_flight)
             link.in_flight -= 1
             return
         link.availability.note_accepted(now_s)
         self.running[replica] += 1
         self.served += 1
-        ends_s = now_s + self.random.expovariate(1.0 / RUN_S)
-        heapq.heappush(self.ends, (ends_s, gateway, replica))
+        completes_at_s = now_s + self.random.expovariate(1.0 / MEAN_RUN_S)
+        heapq.heappush(self.completions, (completes_at_s, gateway, replica))
 
 
 def run_return_bench(seed: int) -> list[ReturnFigures]:
-    """Return the figures of each way, load and number of gateways."""
-    found: list[ReturnFigures] = []
+    """Return the results for each strategy, load and number of gateways."""
+    results: list[ReturnFigures] = []
     for load in LOADS:
         for gateways in GATEWAYS:
-            for way, may_take in WAYS.items():
-                play = _Play(may_take, gateways, Random(seed))
-                play.play(load)
-                share = play.again / play.rests if play.rests else 0.0
-                served = round(play.served / play.asked, 3)
-                figures = ReturnFigures(way, gateways, load, served, play.rests, round(share, 2))
-                found.append(figures)
-    return found
+            for strategy, may_send in STRATEGIES.items():
+                simulation = _Simulation(may_send, gateways, Random(seed))
+                simulation.simulate(load)
+                repeated_share = (
+                    simulation.repeated_backoffs / simulation.backoffs
+                    if simulation.backoffs
+                    else 0.0
+                )
+                served = round(simulation.served / simulation.requests, 3)
+                figures = ReturnFigures(
+                    strategy, gateways, load, served, simulation.backoffs, round(repeated_share, 2)
+                )
+                results.append(figures)
+    return results
--- a/tests/test_replica_signals.py
+++ b/tests/test_replica_signals.py
@@ -382,12 +382,12 @@
     Without a bound after a backoff, all gateways return at once: only 57% of the requests were
     served, and 84% of the backoffs began within a second of the end of the last one.
     """
-    monkeypatch.setattr(returns, "PLAYED_S", 40.0)
-    played = {}
-    for way in ("all at once", "one first, half of what it had"):
-        play = returns._Play(returns.WAYS[way], 9, Random(1))
-        play.play(0.9)
-        played[way] = play
-    before, after = played.values()
-    assert after.served > 1.2 * before.served
-    assert after.again <= after.rests / 10
+    monkeypatch.setattr(returns, "SIMULATED_S", 40.0)
+    simulations = {}
+    for strategy in ("all at once", "one first, half of what it had"):
+        simulation = returns._Simulation(returns.STRATEGIES[strategy], 9, Random(1))
+        simulation.simulate(0.9)
+        simulations[strategy] = simulation
+    unbounded, bounded = simulations.values()
+    assert bounded.served > 1.2 * unbounded.served
+    assert bounded.repeated_backoffs <= bounded.backoffs / 10
