--- a/src/crowsill_lab/bench/__init__.py
+++ b/src/crowsill_lab/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on real processes; each prints its figures as JSON lines."""
+"""Benchmarks and simulations that are run by hand; each prints its figures as text."""
--- a/src/crowsill_lab/bench/admission.py
+++ b/src/crowsill_lab/bench/admission.py
@@ -1,4 +1,4 @@
-"""Processor time of finding a caller and of granting what its request counts."""
+"""CPU time to identify a caller and to grant the units of its request."""
 
 import hashlib
 import time
@@ -9,17 +9,17 @@
 from crowsill.tenancy.grant_ledger import GrantLedger, QuotaBounds
 from crowsill.tenancy.identity import TenantDirectory
 
-KEYS_EACH = 2
+KEYS_PER_TENANT = 2
 ROUNDS = 20000
 
 
 class AdmissionFigures(msgspec.Struct, frozen=True):
-    """One number of tenants.
+    """Result for one number of tenants.
 
     Attributes:
-        tenants: Tenants, with two keys each.
-        identify_us: Processor time to find the owner of a key, in microseconds.
-        grant_us: Processor time to grant a request's units at the leader.
+        tenants: Number of tenants, each with `KEYS_PER_TENANT` keys.
+        identify_us: CPU time to find the tenant of an API key, in microseconds.
+        grant_us: CPU time to grant a request's units at the leader, in microseconds.
     """
 
     tenants: int
@@ -31,7 +31,10 @@
     return [
         Tenant(
             f"t{number}",
-            [hashlib.sha256(f"{number}-{key}".encode()).hexdigest() for key in range(KEYS_EACH)],
+            [
+                hashlib.sha256(f"{number}-{key}".encode()).hexdigest()
+                for key in range(KEYS_PER_TENANT)
+            ],
             rate_per_s=1e9,
             burst=1e9,
             unit=RateUnit.TOKENS,
@@ -44,22 +47,22 @@
     tenants = _tenants(count)
     directory = TenantDirectory(tenants)
     headers = [[f"Bearer {number % count}-1".encode()] for number in range(ROUNDS)]
-    began_s = time.process_time()
+    started_s = time.process_time()
     for header in headers:
         directory.identify(header, is_public=False, proof_age_s=0.3, revocation_s=5.0)
-    identify_s = time.process_time() - began_s
+    identify_s = time.process_time() - started_s
     ledger = GrantLedger(QuotaBounds(), {}, 0.0)
     for tenant in tenants:
         ledger.grant(tenant, 1.0, 0.0)
     ledger.note_recorded(ledger.due(0.0))
-    began_s = time.process_time()
+    started_s = time.process_time()
     for number in range(ROUNDS):
         ledger.grant(tenants[number % count], 2200.0, number / 300.0)
-    grant_s = time.process_time() - began_s
+    grant_s = time.process_time() - started_s
     scale = 1e6 / ROUNDS
     return AdmissionFigures(count, round(identify_s * scale, 2), round(grant_s * scale, 2))
 
 
 def run_admission_bench() -> list[AdmissionFigures]:
-    """Return the figures at 16 and at 1,000 tenants."""
+    """Return the results for 16 and for 1,000 tenants."""
     return [_measure(16), _measure(1000)]
--- a/src/crowsill_lab/bench/calls.py
+++ b/src/crowsill_lab/bench/calls.py
@@ -1,4 +1,4 @@
-"""Open-loop calls of plain services through entries, with the results counted."""
+"""Open-loop load generator for services behind entries; counts the results."""
 
 import asyncio
 import itertools
@@ -18,22 +18,22 @@
     """Results of one stream of calls.
 
     Attributes:
-        latencies_ms: Time of each answered call.
-        refusals: Refusals by error kind.
-        errors: Connections that failed or broke.
+        latencies_ms: Latency of each successful call, in milliseconds.
+        rejections: Number of rejected calls by error kind.
+        errors: Number of calls whose connection could not be made or was lost.
     """
 
     latencies_ms: list[float] = field(default_factory=list)
-    refusals: dict[str, int] = field(default_factory=dict)
+    rejections: dict[str, int] = field(default_factory=dict)
     errors: int = 0
 
     @property
     def total(self) -> int:
-        """Calls in all."""
-        return len(self.latencies_ms) + sum(self.refusals.values()) + self.errors
+        """Number of calls."""
+        return len(self.latencies_ms) + sum(self.rejections.values()) + self.errors
 
     def quantile_ms(self, quantile: float) -> float:
-        """Return a quantile of the answered calls' times."""
+        """Return a quantile of the successful calls' latencies in milliseconds; 0 without any."""
         ordered = sorted(self.latencies_ms)
         if not ordered:
             return 0.0
@@ -43,7 +43,7 @@
 async def call_once(
     session: aiohttp.ClientSession, entry: str, service: str, results: CallResults, unsafe: bool
 ) -> None:
-    """Make one call and count it."""
+    """Make one call and count its result; `unsafe` adds an idempotency key."""
     headers = {"Authorization": f"Bearer {TOKEN}"}
     if unsafe:
         headers[HEADER_IDEMPOTENCY_KEY] = uuid.uuid4().hex
@@ -59,50 +59,54 @@
         results.latencies_ms.append((time.perf_counter() - started_s) * 1000)
         return
     kind = json.loads(body)["kind"]
-    results.refusals[kind] = results.refusals.get(kind, 0) + 1
+    results.rejections[kind] = results.rejections.get(kind, 0) + 1
 
 
 async def drive_calls(
     entries: list[str], service: str, rate: float, seconds: float, unsafe: bool = False
 ) -> CallResults:
-    """Call a service at a fixed rate through the entries in turn."""
+    """Call a service at a fixed rate per second, through the entries in round-robin order."""
     results = CallResults()
-    turn = itertools.cycle(entries)
+    entry_cycle = itertools.cycle(entries)
     loop = asyncio.get_running_loop()
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         started_s = loop.time()
         tasks = []
         for number in range(int(rate * seconds)):
             await asyncio.sleep(max(0.0, started_s + number / rate - loop.time()))
-            work = call_once(session, next(turn), service, results, unsafe)
-            tasks.append(asyncio.create_task(work))
+            call = call_once(session, next(entry_cycle), service, results, unsafe)
+            tasks.append(asyncio.create_task(call))
         await asyncio.gather(*tasks)
     return results
 
 
 async def fetch_json(url: str) -> dict[str, float]:
-    """Get a JSON object."""
+    """Get a JSON object from a URL."""
     async with aiohttp.ClientSession() as session, session.get(url) as response:
         found: dict[str, float] = await response.json()
         return found
 
 
 async def post(url: str) -> None:
-    """Post without a body."""
+    """Send a POST request without a body.
+
+    Raises:
+        aiohttp.ClientResponseError: The response has an error status.
+    """
     async with aiohttp.ClientSession() as session, session.post(url) as response:
         response.raise_for_status()
 
 
-async def metric_total(address: str, name: str, labelled: str = "") -> float:
-    """Return the sum of a counter of one process.
+async def metric_total(address: str, name: str, line_prefix: str = "") -> float:
+    """Return the sum of a counter of one process over its labels.
 
     Args:
         address: `IP:port` of a listener with metrics.
         name: Name of the counter.
-        labelled: Start of the lines that count, where not all labels do.
+        line_prefix: Prefix of the exposition lines to add up, if not all labels count.
     """
     url = f"http://{address}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as response:
         text = await response.text()
-    lines = [line for line in text.splitlines() if line.startswith(labelled or f"{name}_total")]
+    lines = [line for line in text.splitlines() if line.startswith(line_prefix or f"{name}_total")]
     return sum(float(line.rpartition(" ")[2]) for line in lines)
--- a/src/crowsill_lab/bench/choice.py
+++ b/src/crowsill_lab/bench/choice.py
@@ -1,4 +1,4 @@
-"""Processor time of choosing a replica."""
+"""CPU time to choose a replica for a request."""
 
 import time
 
@@ -11,17 +11,17 @@
 
 ROUNDS = 300
 REPLICAS = (10, 100)
-# As many as a model that is asked for much has.
-HOLDERS_SHARE = 0.3
+# Share of the replicas that have a popular model loaded.
+SHARE_WITH_MODEL = 0.3
 
 
 class ChoiceFigures(msgspec.Struct, frozen=True):
-    """One number of replicas.
+    """Result for one number of replicas.
 
     Attributes:
-        replicas: Their number.
-        service_us: Processor time a choice for a plain service, in microseconds; the least of five.
-        model_us: The same for a model that three in ten replicas hold.
+        replicas: Number of replicas.
+        service_us: CPU time of a choice for a service, in microseconds; minimum of five runs.
+        model_us: The same for a model that `SHARE_WITH_MODEL` of the replicas have loaded.
     """
 
     replicas: int
@@ -30,7 +30,7 @@
 
 
 def _records(count: int) -> list[ReplicaRecord]:
-    holders = int(count * HOLDERS_SHARE)
+    with_model = int(count * SHARE_WITH_MODEL)
     return [
         ReplicaRecord(
             Instance(
@@ -39,7 +39,7 @@
                 "127.0.0.1:1",
                 "z",
                 8,
-                models=[LoadedModel("m" if number < holders else "n")],
+                models=[LoadedModel("m" if number < with_model else "n")],
             )
         )
         for number in range(count)
@@ -48,19 +48,22 @@
 
 def _choice_us(records: list[ReplicaRecord], request: CallerRequest) -> float:
     limits, tried = SelectionLimits("z", 10), set[str]()
-    began_s = time.process_time()
+    started_s = time.process_time()
     for _ in range(ROUNDS):
         choose(records, request, tried, limits, 1.0)
-    return (time.process_time() - began_s) * 1e6 / ROUNDS
+    return (time.process_time() - started_s) * 1e6 / ROUNDS
 
 
 def run_choice_bench() -> list[ChoiceFigures]:
-    """Return the figures for each number of replicas."""
-    plain = CallerRequest(b"POST", b"/", [], b"", True, 0.0)
-    needy = CallerRequest(b"POST", b"/", [], b"", True, 0.0, model="m", prompt_tokens=1000)
-    found: list[ChoiceFigures] = []
+    """Return the results for each number of replicas."""
+    service_request = CallerRequest(b"POST", b"/", [], b"", True, 0.0)
+    model_request = CallerRequest(b"POST", b"/", [], b"", True, 0.0, model="m", prompt_tokens=1000)
+    figures: list[ChoiceFigures] = []
     for count in REPLICAS:
         records = _records(count)
-        times = [min(_choice_us(records, request) for _ in range(5)) for request in (plain, needy)]
-        found.append(ChoiceFigures(count, *(round(value, 1) for value in times)))
-    return found
+        times = [
+            min(_choice_us(records, request) for _ in range(5))
+            for request in (service_request, model_request)
+        ]
+        figures.append(ChoiceFigures(count, *(round(value, 1) for value in times)))
+    return figures
--- a/src/crowsill_lab/bench/commands.py
+++ b/src/crowsill_lab/bench/commands.py
@@ -5,7 +5,7 @@
 import msgspec
 import typer
 
-application = typer.Typer(no_args_is_help=True, help="Measurements on real processes.")
+application = typer.Typer(no_args_is_help=True, help="Benchmarks and simulations.")
 DEFAULT_FOLDER = Path("bench-run")
 
 
@@ -22,7 +22,7 @@
     both: bool = True,
     folder: Path = DEFAULT_FOLDER,
 ) -> None:
-    """Latency and processor time that one entry adds."""
+    """Measure the latency and CPU time that one entry adds."""
     from crowsill_lab.bench.entry import run_entry_bench
 
     _print(run_entry_bench(rate, seconds, tokens, both, folder))
@@ -30,7 +30,7 @@
 
 @application.command()
 def overload(seconds: float = 8.0, folder: Path = DEFAULT_FOLDER) -> None:
-    """Urgent calls beside a burst of ten times the capacity."""
+    """Measure urgent calls during a burst of ten times the capacity."""
     from crowsill_lab.bench.overload import run_overload_bench
 
     _print(run_overload_bench(seconds, folder))
@@ -38,7 +38,7 @@
 
 @application.command()
 def retries(seconds: float = 15.0, folder: Path = DEFAULT_FOLDER) -> None:
-    """Upstream calls for each caller's call while a third of the back ends fail."""
+    """Count upstream calls for each caller's call while a third of the back ends fail."""
     from crowsill_lab.bench.overload import run_retry_bench
 
     _print(run_retry_bench(seconds, folder))
@@ -46,7 +46,7 @@
 
 @application.command()
 def stops(folder: Path = DEFAULT_FOLDER) -> None:
-    """Planned stops of an entry, the control leader, an engine and a service under load."""
+    """Stop an entry, the control leader, an engine and a service gracefully under load."""
     from crowsill_lab.bench.stops import run_stop_bench
 
     _print(run_stop_bench(folder))
@@ -54,7 +54,7 @@
 
 @application.command()
 def connections(count: int = 10_000, folder: Path = DEFAULT_FOLDER) -> None:
-    """Slow and malformed connections beside good calls."""
+    """Measure valid calls while slow and malformed connections are open."""
     from crowsill_lab.bench.stops import run_connection_bench
 
     _print(run_connection_bench(count, folder))
@@ -62,7 +62,7 @@
 
 @application.command()
 def commits(seconds: float = 8.0, folder: Path = DEFAULT_FOLDER) -> None:
-    """Commit latency and claims a second of three control members."""
+    """Measure commit latency and claims per second of three control members."""
     from crowsill_lab.bench.control import run_commit_bench
 
     _print(run_commit_bench(seconds, folder))
@@ -70,7 +70,7 @@
 
 @application.command()
 def kills(count: int = 200, seed: int = 1, folder: Path = DEFAULT_FOLDER) -> None:
-    """Kill control members at random under claims and configuration changes."""
+    """Kill control members at random during claims and configuration changes."""
     from crowsill_lab.bench.kills import run_kill_bench
 
     _print(run_kill_bench(count, seed, folder))
@@ -78,7 +78,7 @@
 
 @application.command()
 def cut(seconds: float = 20.0, folder: Path = DEFAULT_FOLDER) -> None:
-    """Cut the leader off silently, without closing any stream."""
+    """Partition the leader from the other members without closing any connection."""
     from crowsill_lab.bench.cut import run_cut_bench
 
     _print(run_cut_bench(seconds, folder))
@@ -86,7 +86,7 @@
 
 @application.command()
 def replace(folder: Path = DEFAULT_FOLDER) -> None:
-    """Replace a member that lost its disk, and lose another one right after."""
+    """Replace a member that lost its disk, then kill another member."""
     from crowsill_lab.bench.replacement import run_replace_bench
 
     _print(run_replace_bench(folder))
@@ -94,7 +94,7 @@
 
 @application.command()
 def restart(entries: int = 50, folder: Path = DEFAULT_FOLDER) -> None:
-    """Restart after a thousand configuration changes, then a burst of changes."""
+    """Measure restarts after a thousand configuration changes, and a burst of changes."""
     from crowsill_lab.bench.restart import run_restart_bench
 
     _print(run_restart_bench(entries, folder))
@@ -104,7 +104,7 @@
 def crowd(
     counts: str = "10,50,200,400", seconds: float = 10.0, folder: Path = DEFAULT_FOLDER
 ) -> None:
-    """Cost of hollow entries to the control members, for several crowd sizes."""
+    """Measure the cost of hollow entries to the control members, for several numbers of them."""
     from crowsill_lab.bench.crowd import run_crowd_bench
 
     for figures in run_crowd_bench([int(item) for item in counts.split(",")], seconds, folder):
@@ -115,7 +115,7 @@
 def fleet(
     counts: str = "12,100,400,1200", seconds: float = 10.0, folder: Path = DEFAULT_FOLDER
 ) -> None:
-    """Cost of observing hollow replicas, for several fleet sizes."""
+    """Measure the cost of observing hollow replicas, for several fleet sizes."""
     from crowsill_lab.bench.fleet import run_fleet_bench
 
     for figures in run_fleet_bench([int(item) for item in counts.split(",")], seconds, folder):
@@ -124,7 +124,7 @@
 
 @application.command()
 def planner(counts: str = "9,100,400,1200") -> None:
-    """Planner time and memory, for several fleet sizes."""
+    """Measure time and memory of the planner, for several fleet sizes."""
     from crowsill_lab.bench.planner import run_planner_bench
 
     for count in counts.split(","):
@@ -133,7 +133,7 @@
 
 @application.command()
 def quotas(seed: int = 1) -> None:
-    """Ways to keep a tenant's rate over many gateways, simulated."""
+    """Simulate strategies to enforce a tenant's rate over many gateways."""
     from crowsill_lab.bench.quotas import QuotaFigures, run_quota_bench
 
     typer.echo("  ".join(QuotaFigures.__struct_fields__))
@@ -143,7 +143,7 @@
 
 @application.command()
 def limits(seed: int = 1) -> None:
-    """Ways to keep the limit that a replica names over many gateways, simulated."""
+    """Simulate strategies to enforce a replica's advertised rate limit over many gateways."""
     from crowsill_lab.bench.limits import LimitFigures, run_limit_bench
 
     typer.echo("  ".join(LimitFigures.__struct_fields__))
@@ -153,7 +153,7 @@
 
 @application.command()
 def admission() -> None:
-    """Processor time of finding a caller and of granting its units."""
+    """Measure the CPU time to identify a caller and to grant its units."""
     from crowsill_lab.bench.admission import run_admission_bench
 
     for figures in run_admission_bench():
@@ -162,7 +162,7 @@
 
 @application.command()
 def fingerprints() -> None:
-    """Processor time of looking a request up among those under which replicas ended."""
+    """Measure the CPU time to look up a request among the crash suspects."""
     from crowsill_lab.bench.fingerprints import run_fingerprint_bench
 
     for figures in run_fingerprint_bench():
@@ -171,7 +171,7 @@
 
 @application.command()
 def choice() -> None:
-    """Processor time of choosing a replica, among 10 and 100."""
+    """Measure the CPU time to choose among 10 and 100 replicas."""
     from crowsill_lab.bench.choice import run_choice_bench
 
     for figures in run_choice_bench():
@@ -180,7 +180,7 @@
 
 @application.command()
 def returns(seed: int = 1) -> None:
-    """Ways to return to replicas that had asked for rest, simulated."""
+    """Simulate strategies to resume sending to replicas after a backoff."""
     from crowsill_lab.bench.returns import ReturnFigures, run_return_bench
 
     typer.echo("  ".join(ReturnFigures.__struct_fields__))
--- a/src/crowsill_lab/bench/control.py
+++ b/src/crowsill_lab/bench/control.py
@@ -1,4 +1,4 @@
-"""Commits, claims and recovery of control members as processes, driven over their own protocol."""
+"""Commit latency and claim throughput of control member processes, measured over their protocol."""
 
 import asyncio
 import os
@@ -31,7 +31,7 @@
 
 
 def control_site(folder: Path, members: int = 3) -> Site:
-    """Start control members alone, with one idle back end of each kind."""
+    """Start control members without entries, with one idle back end of each kind."""
     engine = EngineShape("engines", 10000, 8, ["z1"])
     deployment = bench_deployment(0, members, engine, ServiceShape("till", 8, ["z1"]))
     site = Site(deployment, folder.absolute())
@@ -44,30 +44,30 @@
 
 
 def local_identity(site: Site, name: str) -> LocalIdentity:
-    """Return an identity with the site's key."""
+    """Return a new identity of that name with the cluster key of the site."""
     key = load_cluster_key(site.folder / "cluster.key").unwrap()
     return LocalIdentity(name, f"{name}.{secrets.token_hex(4)}", "z1", key)
 
 
 def leader_client(site: Site, name: str = "bench") -> LeaderClient:
-    """Return a client of the site's control members."""
+    """Return a client for the leader of the site's control members."""
     members = [Address("127.0.0.1", port) for port in site.control_ports]
     return LeaderClient(local_identity(site, name), members, random.Random(1))
 
 
 class CommitFigures(msgspec.Struct, frozen=True):
-    """Commit latency of one command at a time, and claims at full load.
+    """Commit latency of one command at a time, and claim throughput at full load.
 
     Attributes:
-        sync_p50_ms: One synced write of the journal's size in the same folder.
-        round_trip_p50_ms: One echo over a loopback stream.
-        commit_p50_ms: One claim, from the client, alone.
+        sync_p50_ms: Write and `fdatasync` of a record of the journal's size in the same folder.
+        round_trip_p50_ms: Echo over a loopback TCP connection.
+        commit_p50_ms: Latency of a claim at the client, one at a time.
         commit_p99_ms: The same at the 99th percentile.
-        ratio_p50: Commit over one sync and one round trip.
-        claims_per_s: Claims committed a second at full load.
-        leader_cpu_us_per_claim: Leader's processor time a claim.
-        claims_per_leader_core_s: What one core of the leader would do.
-        follower_cpu_us_per_claim: A follower's processor time a claim.
+        ratio_p50: Commit latency divided by the sum of one sync and one round trip.
+        claims_per_s: Claims committed per second at full load.
+        leader_cpu_us_per_claim: CPU time of the leader per claim, in microseconds.
+        claims_per_leader_core_s: Claims per second of the leader's CPU time.
+        follower_cpu_us_per_claim: CPU time of one follower per claim, in microseconds.
         commands_per_batch: Mean number of commands in one log entry.
     """
 
@@ -84,7 +84,7 @@
 
 
 def open_claim(key: str, attempt: str) -> SubmitCommand:
-    """Return the request to claim a key."""
+    """Return the command that claims a key for an attempt."""
     claim_key = ClaimKey("bench", "till", key)
     return SubmitCommand(OpenClaim(claim_key, b"fingerprint-0123", attempt, "bench", 0.0))
 
@@ -132,18 +132,18 @@
 
 
 async def _full_load(client: LeaderClient, seconds: float, concurrency: int) -> int:
-    done = 0
+    claims = 0
     end_s = time.monotonic() + seconds
 
     async def worker() -> None:
-        nonlocal done
+        nonlocal claims
         while time.monotonic() < end_s:
             request = open_claim(uuid.uuid4().hex, "a")
             (await client.submit(request, monotonic_s() + COMMIT_TIMEOUT_S)).unwrap()
-            done += 1
+            claims += 1
 
     await asyncio.gather(*(worker() for _ in range(concurrency)))
-    return done
+    return claims
 
 
 async def statuses(site: Site) -> list[Status]:
@@ -159,12 +159,12 @@
     members = await statuses(site)
     leader = next(status.node for status in members if status.role == "leader")
     follower = next(status.node for status in members if status.role != "leader")
-    before = {name: site.processes[name].cpu_s() for name in (leader, follower)}
+    cpu_before_s = {name: site.processes[name].cpu_s() for name in (leader, follower)}
     index_before = max(status.applied_index for status in members)
     started_s = time.monotonic()
-    done = await _full_load(client, seconds, 256)
+    claims = await _full_load(client, seconds, 256)
     elapsed_s = time.monotonic() - started_s
-    used = {name: site.processes[name].cpu_s() - before[name] for name in before}
+    cpu_used_s = {name: site.processes[name].cpu_s() - cpu_before_s[name] for name in cpu_before_s}
     index_after = max(status.applied_index for status in await statuses(site))
     client.close()
     median_ms = statistics.median(latencies)
@@ -174,16 +174,16 @@
         commit_p50_ms=round(median_ms, 3),
         commit_p99_ms=round(latencies[int(len(latencies) * 0.99)], 3),
         ratio_p50=round(median_ms / (sync_ms + round_trip_ms), 2),
-        claims_per_s=round(done / elapsed_s),
-        leader_cpu_us_per_claim=round(used[leader] / done * 1e6, 1),
-        claims_per_leader_core_s=round(done / used[leader]),
-        follower_cpu_us_per_claim=round(used[follower] / done * 1e6, 1),
-        commands_per_batch=round(done / max(1, index_after - index_before), 1),
+        claims_per_s=round(claims / elapsed_s),
+        leader_cpu_us_per_claim=round(cpu_used_s[leader] / claims * 1e6, 1),
+        claims_per_leader_core_s=round(claims / cpu_used_s[leader]),
+        follower_cpu_us_per_claim=round(cpu_used_s[follower] / claims * 1e6, 1),
+        commands_per_batch=round(claims / max(1, index_after - index_before), 1),
     )
 
 
 def run_commit_bench(seconds: float, folder: Path) -> CommitFigures:
-    """Measure commits of three members on this machine."""
+    """Measure commits of three control members on this machine."""
     site = control_site(folder)
     try:
         return asyncio.run(_commits(site, seconds))
--- a/src/crowsill_lab/bench/crowd.py
+++ b/src/crowsill_lab/bench/crowd.py
@@ -1,4 +1,4 @@
-"""Cost of following entries to the control members, with hollow entries."""
+"""CPU time, memory and traffic that entries cost the control members, with hollow entries."""
 
 import asyncio
 import statistics
@@ -18,15 +18,15 @@
 
 
 class CrowdFigures(msgspec.Struct, frozen=True):
-    """Cost of following entries to the control members.
+    """Cost of one number of hollow entries to the control members.
 
     Attributes:
-        entries: Hollow entries.
-        leader_cpu_percent: Leader's processor time.
-        follower_cpu_percent: A follower's processor time, mean of both.
-        leader_memory_mib: Leader's memory.
-        sent_bytes_per_entry_s: Bytes all members send, per entry and second.
-        hollow_cpu_percent_each: This process's processor time for each hollow entry.
+        entries: Number of hollow entries.
+        leader_cpu_percent: CPU use of the leader, in percent of one core.
+        follower_cpu_percent: CPU use of a follower, mean of both.
+        leader_memory_mib: Resident memory of the leader.
+        sent_bytes_per_entry_s: Bytes that all members send per entry and second.
+        hollow_cpu_percent_each: CPU use of this process per hollow entry.
     """
 
     entries: int
@@ -38,25 +38,26 @@
 
 
 async def _crowd(site: Site, entries: int, seconds: float) -> CrowdFigures:
-    crowd = [HollowEntry(site, number) for number in range(entries)]
-    await wait_until(lambda: all(item.is_current() for item in crowd), 60.0)
+    hollow_entries = [HollowEntry(site, number) for number in range(entries)]
+    await wait_until(lambda: all(item.is_current() for item in hollow_entries), 60.0)
     await asyncio.sleep(2.0)
     leader = await leader_index(site)
     names = [f"control-{index}" for index in range(3)]
-    before = {name: site.processes[name].cpu_s() for name in names}
+    cpu_before_s = {name: site.processes[name].cpu_s() for name in names}
     sent_before = await sent_bytes(site)
-    own_before = time.process_time()
+    own_cpu_before_s = time.process_time()
     started_s = time.monotonic()
     await asyncio.sleep(seconds)
     elapsed_s = time.monotonic() - started_s
-    own = time.process_time() - own_before
+    own_cpu_s = time.process_time() - own_cpu_before_s
     sent = await sent_bytes(site) - sent_before
     percent = {
-        name: (site.processes[name].cpu_s() - before[name]) / elapsed_s * 100 for name in names
+        name: (site.processes[name].cpu_s() - cpu_before_s[name]) / elapsed_s * 100
+        for name in names
     }
     followers = [percent[name] for index, name in enumerate(names) if index != leader]
     memory_mib = site.processes[names[leader]].resident_mib()
-    for item in crowd:
+    for item in hollow_entries:
         item.stop()
     await asyncio.sleep(0.5)
     return CrowdFigures(
@@ -65,12 +66,12 @@
         follower_cpu_percent=round(statistics.mean(followers), 2),
         leader_memory_mib=round(memory_mib, 1),
         sent_bytes_per_entry_s=round(sent / elapsed_s / max(1, entries)),
-        hollow_cpu_percent_each=round(own / elapsed_s * 100 / max(1, entries), 3),
+        hollow_cpu_percent_each=round(own_cpu_s / elapsed_s * 100 / max(1, entries), 3),
     )
 
 
 def run_crowd_bench(counts: list[int], seconds: float, folder: Path) -> list[CrowdFigures]:
-    """Measure the cost of hollow entries for several crowd sizes."""
+    """Measure the cost of hollow entries, for each of several numbers of them."""
     site = control_site(folder)
     try:
         return [asyncio.run(_crowd(site, count, seconds)) for count in counts]
--- a/src/crowsill_lab/bench/cut.py
+++ b/src/crowsill_lab/bench/cut.py
@@ -1,4 +1,4 @@
-"""The leader silently cut off from the other control members."""
+"""Network partition between the leader and the other control members."""
 
 import asyncio
 import random
@@ -33,14 +33,14 @@
 
 
 class CutFigures(msgspec.Struct, frozen=True):
-    """The leader is silently cut off from the other members, but not from its clients.
+    """A partition cuts the leader off from the other members, but not from its clients.
 
     Attributes:
-        last_proof_s: Last time, after the cut, that the old leader vouched for being current.
-        first_new_commit_s: First commit of the new leader after the cut.
-        stale_proofs: Proofs by the old leader after the new leader's first commit.
-        old_commits: Commands the old leader claimed to have committed after the cut.
-        states_equal: Whether all members agree once the cut is healed.
+        last_proof_s: Time from the cut to the old leader's last proof of freshness.
+        first_new_commit_s: Time from the cut to the new leader's first commit.
+        stale_proofs: Proofs of freshness by the old leader after the new leader's first commit.
+        old_commits: Commands that the old leader reported as committed after the cut.
+        states_equal: Whether all members have the same state after the cut has ended.
     """
 
     last_proof_s: float
@@ -53,7 +53,7 @@
 async def _probe_old_leader(
     site: Site, port: int, proofs_s: list[float], commits_s: list[float]
 ) -> None:
-    """Ask one member again and again what is current, and to commit."""
+    """Repeatedly request a proof of freshness and a commit from one member."""
     local = local_identity(site, "probe")
     try:
         connection = await open_connection("127.0.0.1", port, local)
@@ -61,19 +61,19 @@
         return
     reader = asyncio.create_task(connection.run())
 
-    async def ask_current() -> None:
+    async def request_freshness() -> None:
         while True:
-            asked_s = time.monotonic()
+            requested_s = time.monotonic()
             try:
                 reply = await connection.request(Heartbeat(0, 0, [], {}, False), 3.0)
             except ConnectionLostError:
                 reply = None
             if isinstance(reply, Freshness):
-                # It vouches for the moment of asking, not for that of the reply.
-                proofs_s.append(asked_s)
+                # It proves freshness at the time of the request, not at that of the reply.
+                proofs_s.append(requested_s)
             await asyncio.sleep(0.02)
 
-    async def ask_commit() -> None:
+    async def request_commits() -> None:
         while True:
             key = ClaimKey("bench", "till", uuid.uuid4().hex)
             command = OpenClaim(key, b"f", "old", "old", 0.0)
@@ -86,7 +86,7 @@
             await asyncio.sleep(0.02)
 
     try:
-        await asyncio.gather(ask_current(), ask_commit())
+        await asyncio.gather(request_freshness(), request_commits())
     finally:
         connection.close()
         reader.cancel()
@@ -96,35 +96,37 @@
     relay = SilentRelay()
     for index in range(3):
         await relay.listen(site.control_ports[index], f"control-{index}", site.listen_ports[index])
-    old = await leader_index(site)
-    others = [Address("127.0.0.1", site.listen_ports[index]) for index in range(3) if index != old]
+    old_leader = await leader_index(site)
+    others = [
+        Address("127.0.0.1", site.listen_ports[index]) for index in range(3) if index != old_leader
+    ]
     proofs_s: list[float] = []
     commits_s: list[float] = []
-    # The probe connects past the relay: the old leader's clients are on its side of the cut.
+    # The probe bypasses the relay: clients of the old leader are on its side of the partition.
     probe = asyncio.create_task(
-        _probe_old_leader(site, site.listen_ports[old], proofs_s, commits_s)
+        _probe_old_leader(site, site.listen_ports[old_leader], proofs_s, commits_s)
     )
     await wait_until(lambda: len(proofs_s) > 10 and len(commits_s) > 10)
-    relay.cut = {f"control-{old}"}
+    relay.cut = {f"control-{old_leader}"}
     cut_s = time.monotonic()
     first_new_s = await _first_commit_s(site, others)
     await asyncio.sleep(seconds)
     probe.cancel()
     relay.cut = set()
-    equal = await _wait_equal(site)
+    equal = await _wait_until_states_equal(site)
     relay.close()
-    in_flight_s = 0.05  # What was committed just before the cut may be reported just after it.
+    in_flight_s = 0.05  # A commit just before the cut may be reported just after it.
     return CutFigures(
         last_proof_s=round(max(proofs_s) - cut_s, 3),
         first_new_commit_s=round(first_new_s - cut_s, 3),
-        stale_proofs=sum(moment > first_new_s for moment in proofs_s),
-        old_commits=sum(moment > cut_s + in_flight_s for moment in commits_s),
+        stale_proofs=sum(time_s > first_new_s for time_s in proofs_s),
+        old_commits=sum(time_s > cut_s + in_flight_s for time_s in commits_s),
         states_equal=equal,
     )
 
 
 async def _first_commit_s(site: Site, members: list[Address]) -> float:
-    """Commit through the members on the majority's side; return when it succeeded."""
+    """Commit through members on the majority's side; return the monotonic time of success."""
     local = local_identity(site, "majority")
     client = LeaderClient(local, members, random.Random(2))
     while True:
@@ -136,7 +138,7 @@
             return time.monotonic()
 
 
-async def _wait_equal(site: Site) -> bool:
+async def _wait_until_states_equal(site: Site) -> bool:
     for _ in range(300):
         try:
             statuses = [
@@ -152,7 +154,7 @@
 
 
 def run_cut_bench(seconds: float, folder: Path) -> CutFigures:
-    """Cut the leader off silently for a while."""
+    """Partition the leader from the other members for `seconds`, without closing connections."""
     engine = EngineShape("engines", 10000, 8, ["z1"])
     deployment = bench_deployment(0, 3, engine, ServiceShape("till", 8, ["z1"]))
     site = Site(deployment, folder.absolute(), relayed=True)
--- a/src/crowsill_lab/bench/fingerprints.py
+++ b/src/crowsill_lab/bench/fingerprints.py
@@ -1,4 +1,4 @@
-"""Processor time of what a request costs while some request is a suspect."""
+"""CPU time per request to check whether it is a crash suspect."""
 
 import time
 
@@ -15,12 +15,12 @@
 
 
 class FingerprintFigures(msgspec.Struct, frozen=True):
-    """One size of body.
+    """Result for one body size.
 
     Attributes:
-        body_bytes: Size of the body.
-        idle_us: Processor time a request while no request is a suspect, in microseconds.
-        look_up_us: The same while `SUSPECTS` requests are.
+        body_bytes: Size of the body, in bytes.
+        idle_us: CPU time per request without suspects, in microseconds.
+        look_up_us: The same with `SUSPECTS` suspects.
     """
 
     body_bytes: int
@@ -30,21 +30,21 @@
 
 def _look_up_us(guard: CrashGuard, request: CallerRequest) -> float:
     fingerprints = Fingerprints(b"key")
-    began_s = time.process_time()
+    started_s = time.process_time()
     for _ in range(ROUNDS):
         if guard.has_suspects:
             guard.is_quarantined(fingerprints.of(request, ""))
-    return round((time.process_time() - began_s) * 1e6 / ROUNDS, 2)
+    return round((time.process_time() - started_s) * 1e6 / ROUNDS, 2)
 
 
 def run_fingerprint_bench() -> list[FingerprintFigures]:
-    """Return the figures for each size of body."""
-    ends = [SuspectCrashes(b"%016d" % number, ["a"]) for number in range(SUSPECTS)]
+    """Return the results for each body size."""
+    crashes = [SuspectCrashes(b"%016d" % number, ["a"]) for number in range(SUSPECTS)]
     guard = CrashGuard()
-    guard.adopt(SuspectChange(1, ends), True)
-    found: list[FingerprintFigures] = []
+    guard.adopt(SuspectChange(1, crashes), True)
+    figures: list[FingerprintFigures] = []
     for size in BODY_BYTES:
         request = CallerRequest(b"POST", b"/a/b", [], b"x" * size, True, 0.0, host="h.example")
         idle_us = _look_up_us(CrashGuard(), request)
-        found.append(FingerprintFigures(size, idle_us, _look_up_us(guard, request)))
-    return found
+        figures.append(FingerprintFigures(size, idle_us, _look_up_us(guard, request)))
+    return figures
--- a/src/crowsill_lab/bench/fleet.py
+++ b/src/crowsill_lab/bench/fleet.py
@@ -1,6 +1,7 @@
-"""Cost of observing a fleet and of telling entries about it, against its size.
+"""Cost of observing a fleet and of sending its state to entries, by fleet size.
 
-All hollow replicas share one server; its report carries a load that moves all the time.
+All hollow replicas share one server; its reports carry random loads, so that the fleet state keeps
+changing.
 """
 
 import asyncio
@@ -20,20 +21,20 @@
 from crowsill_lab.demo.site import Site
 from crowsill_lab.settings import EngineShape, ServiceShape
 
-RESIDENT = 12
+RESIDENT_MODELS = 12
 ENTRIES = 3
 
 
 class FleetFigures(msgspec.Struct, frozen=True):
-    """One fleet size.
+    """Result for one fleet size.
 
     Attributes:
-        replicas: Hollow replicas observed.
-        leader_cpu_percent: Leader's processor time.
-        follower_cpu_percent: A follower's processor time, mean of both.
-        leader_memory_mib: Leader's memory.
-        received_bytes_per_entry_s: Bytes an entry receives a second.
-        full_state_bytes: Size of the whole fleet view on the wire.
+        replicas: Number of hollow replicas observed.
+        leader_cpu_percent: CPU use of the leader, in percent of one core.
+        follower_cpu_percent: CPU use of a follower, mean of both.
+        leader_memory_mib: Resident memory of the leader.
+        received_bytes_per_entry_s: Bytes that an entry receives per second.
+        full_state_bytes: Encoded size of the full fleet state.
     """
 
     replicas: int
@@ -44,9 +45,9 @@
     full_state_bytes: int
 
 
-async def _hollow_server(port: int) -> web.AppRunner:
+async def _start_hollow_server(port: int) -> web.AppRunner:
     async def report(_request: web.Request) -> web.Response:
-        resident = [f"model-{number}" for number in range(RESIDENT)]
+        resident = [f"model-{number}" for number in range(RESIDENT_MODELS)]
         body = ReplicaReport("i1", resident, random.randrange(16), random.randrange(4))
         return web.json_response(body=msgspec.json.encode(body))
 
@@ -58,7 +59,7 @@
     return runner
 
 
-def _machines(count: int, port: int) -> list[ReplicaDescription]:
+def _replica_descriptions(count: int, port: int) -> list[ReplicaDescription]:
     return [
         ReplicaDescription(
             f"engine-{number:04}",
@@ -74,25 +75,28 @@
 
 
 async def _measure(site: Site, replicas: int, seconds: float, port: int) -> FleetFigures:
-    runner = await _hollow_server(port)
-    crowd = [HollowEntry(site, number) for number in range(ENTRIES)]
-    await wait_until(lambda: all(len(item.follower.fleet.replicas) == replicas for item in crowd))
+    runner = await _start_hollow_server(port)
+    hollow_entries = [HollowEntry(site, number) for number in range(ENTRIES)]
+    await wait_until(
+        lambda: all(len(item.follower.fleet.replicas) == replicas for item in hollow_entries)
+    )
     await asyncio.sleep(2.0)
     names = [f"control-{index}" for index in range(3)]
     leader = await leader_index(site)
-    before = {name: site.processes[name].cpu_s() for name in names}
-    received_before = _received()
+    cpu_before_s = {name: site.processes[name].cpu_s() for name in names}
+    received_before = _received_bytes()
     started_s = time.monotonic()
     await asyncio.sleep(seconds)
     elapsed_s = time.monotonic() - started_s
-    received = _received() - received_before
+    received = _received_bytes() - received_before
     percent = {
-        name: (site.processes[name].cpu_s() - before[name]) / elapsed_s * 100 for name in names
+        name: (site.processes[name].cpu_s() - cpu_before_s[name]) / elapsed_s * 100
+        for name in names
     }
     followers = [percent[name] for index, name in enumerate(names) if index != leader]
-    states = list(crowd[0].follower.fleet.replicas.values())
+    states = list(hollow_entries[0].follower.fleet.replicas.values())
     memory_mib = site.processes[names[leader]].resident_mib()
-    for item in crowd:
+    for item in hollow_entries:
         item.stop()
     await runner.cleanup()
     return FleetFigures(
@@ -105,8 +109,8 @@
     )
 
 
-def _received() -> float:
-    """Bytes this process, that is all hollow entries, received so far."""
+def _received_bytes() -> float:
+    """Return the bytes received so far by this process, that is by all hollow entries."""
     total = 0.0
     for sample in next(iter(CONTROL_BYTES.collect())).samples:
         if sample.name.endswith("_total") and sample.labels["direction"] == "received":
@@ -115,17 +119,17 @@
 
 
 def run_fleet_bench(counts: list[int], seconds: float, folder: Path) -> list[FleetFigures]:
-    """Measure fleets of several sizes, each with new control members."""
-    found = []
+    """Measure fleets of several sizes, each with newly started control members."""
+    figures = []
     for count in counts:
         engine = EngineShape("engines", 10000, 8, [])
         deployment = bench_deployment(0, 3, engine, ServiceShape("till", 8, []))
         site = Site(deployment, folder.absolute())
         (port,) = free_ports(1)
-        site.replicas = _machines(count, port)
+        site.replicas = _replica_descriptions(count, port)
         try:
             site.start()
-            found.append(asyncio.run(_measure(site, count, seconds, port)))
+            figures.append(asyncio.run(_measure(site, count, seconds, port)))
         finally:
             site.stop()
-    return found
+    return figures
--- a/src/crowsill_lab/bench/hollow.py
+++ b/src/crowsill_lab/bench/hollow.py
@@ -1,4 +1,4 @@
-"""What several measurements of control members share: hollow entries, changes, waiting."""
+"""Helpers shared by benchmarks of control members: hollow entries, changes, waiting."""
 
 import asyncio
 import random
@@ -31,21 +31,25 @@
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float = WAIT_S) -> float:
-    """Wait for a condition; return how long it took.
+    """Wait until a condition holds; return the elapsed time in seconds.
 
     Raises:
-        RuntimeError: It did not come true in time.
+        RuntimeError: The condition did not hold within the timeout.
     """
     started_s = time.monotonic()
     while not condition():
         if time.monotonic() - started_s > timeout_s:
-            raise RuntimeError("waited too long")
+            raise RuntimeError("condition did not hold within the timeout")
         await asyncio.sleep(0.01)
     return time.monotonic() - started_s
 
 
 async def leader_index(site: Site) -> int:
-    """Return the index of the control member that leads and holds a lease."""
+    """Return the index of the control member that is leader with a confirmed lease.
+
+    Raises:
+        RuntimeError: There was no such member for at least 20 s.
+    """
     for _ in range(200):
         for index in range(3):
             try:
@@ -55,14 +59,14 @@
             if status.role == "leader" and status.confirmed:
                 return index
         await asyncio.sleep(0.1)
-    raise RuntimeError("no leader")
+    raise RuntimeError("no control member is leader with a confirmed lease")
 
 
 class HollowEntry:
-    """An entry without callers: the product's own follower, many to a process.
+    """The follower of an entry without callers; many run in one process.
 
     Attributes:
-        adopted_s: When each revision was adopted.
+        adopted_s: Monotonic time when each configuration revision was adopted, by revision.
     """
 
     def __init__(self, site: Site, number: int) -> None:
@@ -82,28 +86,32 @@
         self.adopted_s[configuration.revision] = time.monotonic()
 
     def is_current(self) -> bool:
-        """Whether it can prove that it is current."""
+        """Whether it has a valid proof of freshness."""
         return self.follower.is_current(monotonic_s())
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the control members."""
         self._task.cancel()
 
 
 async def change_configuration(client: LeaderClient, number: int, base: int) -> ConfigurationResult:
-    """Submit one small change."""
+    """Submit one small configuration change on top of revision `base`."""
     content = ConfigurationContent(templates=[Template(f"t{number % 50}", {}, move_price=number)])
     change = ConfigurationChange(f"change-{number}", base, content, "bench")
     command = SubmitCommand(ChangeConfiguration(change, 0.0))
     result = (await client.submit(command, monotonic_s() + WAIT_S)).unwrap().result
     if not isinstance(result, ConfigurationResult):
-        raise RuntimeError("unexpected reply")
+        raise RuntimeError("the reply is not a configuration result")
     return result
 
 
-async def apply_changes(client: LeaderClient, first: int, count: int) -> int:
-    """Apply changes one after the other; return the last revision."""
-    revision = first
+async def apply_changes(client: LeaderClient, base_revision: int, count: int) -> int:
+    """Apply `count` changes one after the other; return the last revision.
+
+    Raises:
+        RuntimeError: A change was rejected.
+    """
+    revision = base_revision
     for _ in range(count):
         result = await change_configuration(client, revision + 1, revision)
         if result.decision not in (
@@ -116,7 +124,7 @@
 
 
 async def sent_bytes(site: Site) -> float:
-    """Bytes that all control members have sent so far."""
+    """Return the bytes that all control members have sent so far."""
     name = 'crowsill_control_bytes_total{direction="sent"}'
     total = 0.0
     for port in site.operator_ports:
--- a/src/crowsill_lab/bench/kills.py
+++ b/src/crowsill_lab/bench/kills.py
@@ -1,4 +1,4 @@
-"""Random kills of control members under claims and configuration changes."""
+"""Random kills of control members during claims and configuration changes."""
 
 import asyncio
 import random
@@ -37,26 +37,28 @@
 from crowsill_lab.demo.site import Site
 
 KEYS = 5000
-# A commit made before a kill may be seen just after it.
-REPLY_UNDER_WAY_S = 0.02
+# A client may receive the reply to a commit made before a kill up to this time after the kill.
+MAX_REPLY_DELAY_S = 0.02
 
 
 class KillFigures(msgspec.Struct, frozen=True):
-    """Random kills of control members under claims and configuration changes.
+    """Result of random kills of control members.
+
+    A group is fully replicated when every voter responds and has stored all committed entries.
 
     Attributes:
-        kills: Processes killed.
-        leader_kills: Kills of the leader while the group was whole.
-        leader_kills_not_whole: Kills of the leader while another member was coming back.
+        kills: Number of kills.
+        leader_kills: Kills of the leader while the group was fully replicated.
+        leader_kills_not_whole: Kills of the leader while another member was recovering.
         claims: Claims decided.
-        granted_twice: Keys granted to two attempts.
-        changes: Configuration changes that were acknowledged.
-        changes_lost: Acknowledged changes that are not in the history at their revision.
-        states_equal: Whether all members end with the same state.
-        gap_p50_s: Kill of the leader of a whole group to the next commit a client saw, median.
-        gap_p99_s: The same at the 99th percentile (the largest, below 100 kills).
-        gap_not_whole_p50_s: The same for kills while another member was coming back.
-        gap_not_whole_max_s: The longest of these.
+        granted_twice: Keys granted to more than one attempt.
+        changes: Acknowledged configuration changes.
+        changes_lost: Acknowledged changes missing from the history at their revision.
+        states_equal: Whether all members have the same state after the run.
+        gap_p50_s: Median time from a kill counted in `leader_kills` to the next commit at a client.
+        gap_p99_s: The same at the 99th percentile (the maximum for fewer than 100 kills).
+        gap_not_whole_p50_s: The same median for kills counted in `leader_kills_not_whole`.
+        gap_not_whole_max_s: The maximum of these.
     """
 
     kills: int
@@ -75,8 +77,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Kill:
-    led: bool
-    whole: bool
+    was_leader: bool
+    was_fully_replicated: bool
     killed_s: float
 
 
@@ -118,11 +120,11 @@
                 accepted = (ConfigurationDecision.ACCEPTED, ConfigurationDecision.REPEATED)
                 if result.decision in accepted:
                     run.changes[result.revision] = change.change_id
-        # Slow enough that all changes of a run stay in the kept history.
+        # The history is bounded: a low rate keeps all changes of a run in it.
         await asyncio.sleep(0.6)
 
 
-async def _is_whole(site: Site) -> bool:
+async def _is_fully_replicated(site: Site) -> bool:
     for index in range(3):
         try:
             report = await fetch_operator(site, index, "/v1/members", MembersReport)
@@ -132,18 +134,18 @@
     return False
 
 
-async def _wait_whole(site: Site) -> None:
+async def _wait_until_fully_replicated(site: Site) -> None:
     for _ in range(200):
-        if await _is_whole(site):
+        if await _is_fully_replicated(site):
             return
         await asyncio.sleep(0.05)
 
 
 async def _kill_once(site: Site, source: random.Random) -> _Kill:
-    """Kill and restart one member; half of the time while another is still coming back."""
+    """Kill and restart one member; wait for full replication first in half of the cases."""
     if source.random() < 0.5:
-        await _wait_whole(site)
-    whole = await _is_whole(site)
+        await _wait_until_fully_replicated(site)
+    was_fully_replicated = await _is_fully_replicated(site)
     names = [name for name in site.processes if name.startswith("control-")]
     leader = ""
     for index in range(len(names)):
@@ -161,11 +163,11 @@
     await asyncio.sleep(source.uniform(0.0, 0.6))
     process.start()
     await asyncio.sleep(source.uniform(0.8, 1.6))
-    return _Kill(name == leader, whole, killed_s)
+    return _Kill(name == leader, was_fully_replicated, killed_s)
 
 
 async def _states_equal(site: Site) -> bool:
-    """Wait until all members have applied the same, and compare their states."""
+    """Wait until all members have the same applied index; return whether their states are equal."""
     for _ in range(200):
         try:
             found = await statuses(site)
@@ -187,40 +189,48 @@
         for index, client in enumerate(clients)
     ]
     workers += [asyncio.create_task(_change_worker(run, clients[0], name)) for name in ("a", "b")]
-    done = [await _kill_once(site, source) for _ in range(kills)]
-    await _wait_whole(site)
+    past_kills = [await _kill_once(site, source) for _ in range(kills)]
+    await _wait_until_fully_replicated(site)
     run.stopping = True
     await asyncio.gather(*workers)
     equal = await _states_equal(site)
     history = await fetch_operator(site, 0, "/v1/history", list[AcceptedChange])
-    known = {change.revision: change.change_id for change in history}
-    lost = [revision for revision, name in run.changes.items() if known.get(revision) != name]
-    alone = _gaps_s(run, [kill for kill in done if kill.led and kill.whole])
-    together = _gaps_s(run, [kill for kill in done if kill.led and not kill.whole])
+    recorded = {change.revision: change.change_id for change in history}
+    lost_revisions = [
+        revision for revision, name in run.changes.items() if recorded.get(revision) != name
+    ]
+    gaps_s = _gaps_s(
+        run, [kill for kill in past_kills if kill.was_leader and kill.was_fully_replicated]
+    )
+    degraded_gaps_s = _gaps_s(
+        run, [kill for kill in past_kills if kill.was_leader and not kill.was_fully_replicated]
+    )
     for client in clients:
         client.close()
     return KillFigures(
         kills=kills,
-        leader_kills=len(alone),
-        leader_kills_not_whole=len(together),
+        leader_kills=len(gaps_s),
+        leader_kills_not_whole=len(degraded_gaps_s),
         claims=run.claims,
         granted_twice=sum(len(attempts) > 1 for attempts in run.grants.values()),
         changes=len(run.changes),
-        changes_lost=len(lost),
+        changes_lost=len(lost_revisions),
         states_equal=equal,
-        gap_p50_s=_quantile(alone, 0.5),
-        gap_p99_s=_quantile(alone, 0.99),
-        gap_not_whole_p50_s=_quantile(together, 0.5),
-        gap_not_whole_max_s=_quantile(together, 1.0),
+        gap_p50_s=_quantile(gaps_s, 0.5),
+        gap_p99_s=_quantile(gaps_s, 0.99),
+        gap_not_whole_p50_s=_quantile(degraded_gaps_s, 0.5),
+        gap_not_whole_max_s=_quantile(degraded_gaps_s, 1.0),
     )
 
 
 def _gaps_s(run: _KillRun, kills: list[_Kill]) -> list[float]:
-    """Time from each kill to the next commit that a client saw, sorted."""
+    """Return the time from each kill to the next commit seen by a client, in seconds, sorted."""
     found = []
     for kill in kills:
-        later = [moment for moment in run.commits_s if moment > kill.killed_s + REPLY_UNDER_WAY_S]
-        found.append(min(later) - kill.killed_s)
+        later_commits_s = [
+            commit_s for commit_s in run.commits_s if commit_s > kill.killed_s + MAX_REPLY_DELAY_S
+        ]
+        found.append(min(later_commits_s) - kill.killed_s)
     return sorted(found)
 
 
@@ -231,7 +241,7 @@
 
 
 def run_kill_bench(kills: int, seed: int, folder: Path) -> KillFigures:
-    """Kill control members at random under load."""
+    """Kill control members at random under load, each with a restart."""
     site = control_site(folder)
     try:
         return asyncio.run(_kills(site, kills, seed))
--- a/src/crowsill_lab/bench/operator_http.py
+++ b/src/crowsill_lab/bench/operator_http.py
@@ -1,4 +1,4 @@
-"""The operators' interface as measurements use it."""
+"""Client of the operator API, for benchmarks."""
 
 from typing import Any, TypeVar
 
@@ -12,10 +12,10 @@
 
 
 async def fetch_operator(site: Site, index: int, path: str, kind: type[T]) -> T:
-    """Get a resource of one control member.
+    """Get a resource of one control member, decoded as `kind`.
 
     Raises:
-        RuntimeError: It does not answer.
+        RuntimeError: The member does not respond, or with an error status.
     """
     url = f"http://127.0.0.1:{site.operator_ports[index]}{path}"
     headers = {"Authorization": f"Bearer {site.operator_token}"}
--- a/src/crowsill_lab/bench/planner.py
+++ b/src/crowsill_lab/bench/planner.py
@@ -1,4 +1,4 @@
-"""Planner time and memory against the number of replicas."""
+"""Time and memory of the placement planner by number of replicas."""
 
 import random
 import time
@@ -11,21 +11,21 @@
 from crowsill.placement.types import EngineState, ResourceSpec
 
 MODELS = 340
-ADAPTERS_EACH = 2
-ROUNDS = 2000
+ADAPTERS_PER_MODEL = 2
+MAX_STEPS = 2000
 
 
 class PlannerFigures(msgspec.Struct, frozen=True):
-    """One fleet size.
+    """Result for one fleet size.
 
     Attributes:
-        replicas: Engines.
-        resources: Models and adapters in use.
-        orders: Orders until nothing was left to do.
-        plan_p50_ms: One planning step, median over the run.
-        plan_max_ms: The longest step.
-        idle_ms: One step when there is nothing to do.
-        peak_mib: Largest memory one idle step allocated.
+        replicas: Number of engines.
+        resources: Number of models and adapters with demand.
+        orders: Orders planned until the plan was complete.
+        plan_p50_ms: Median duration of a planning step.
+        plan_max_ms: Maximum duration of a planning step.
+        idle_ms: Duration of a planning step without orders.
+        peak_mib: Peak memory allocated by a planning step without orders.
     """
 
     replicas: int
@@ -49,7 +49,7 @@
     for number in range(models):
         name = f"m{number}"
         found[name] = ResourceSpec(name, name, "p", 20_000 + 500 * (number % 40), 0.5, 2)
-        for adapter in range(ADAPTERS_EACH):
+        for adapter in range(ADAPTERS_PER_MODEL):
             full_name = f"{name}:a{adapter}"
             found[full_name] = ResourceSpec(full_name, name, "p", 256, 0.5, 2)
     return found
@@ -67,28 +67,28 @@
 
 
 def run_planner_bench(replicas: int) -> PlannerFigures:
-    """Plan from an empty fleet until nothing is left to do."""
+    """Plan from an empty fleet until a step plans no orders."""
     models = min(MODELS, replicas * 5)
     source = random.Random(1)
     engines, resources = _engines(replicas), _resources(models)
     demand = {name: source.expovariate(0.2) for name in resources}
     steps_ms: list[float] = []
     orders = 0
-    for _ in range(ROUNDS):
-        view = _input(engines, resources, demand)
+    for _ in range(MAX_STEPS):
+        planning_input = _input(engines, resources, demand)
         started_s = time.perf_counter()
-        planned = Planner(view).plan()
+        planned_orders = Planner(planning_input).plan()
         steps_ms.append((time.perf_counter() - started_s) * 1000)
-        orders += len(planned)
+        orders += len(planned_orders)
         for engine in engines.values():
             engine.resident = engine.present
             engine.loading, engine.unloading = set(), set()
-        if not planned:
+        if not planned_orders:
             break
-    view = _input(engines, resources, demand)
+    planning_input = _input(engines, resources, demand)
     tracemalloc.start()
-    Planner(view).plan()
-    peak = tracemalloc.get_traced_memory()[1]
+    Planner(planning_input).plan()
+    peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     ordered = sorted(steps_ms)
     return PlannerFigures(
@@ -98,5 +98,5 @@
         plan_p50_ms=round(ordered[len(ordered) // 2], 2),
         plan_max_ms=round(ordered[-1], 2),
         idle_ms=round(steps_ms[-1], 2),
-        peak_mib=round(peak / 2**20, 2),
+        peak_mib=round(peak_bytes / 2**20, 2),
     )
--- a/src/crowsill_lab/bench/restart.py
+++ b/src/crowsill_lab/bench/restart.py
@@ -1,4 +1,4 @@
-"""Restarts after many configuration changes, and a burst of changes."""
+"""Restart of a member and an entry after many configuration changes, and a burst of changes."""
 
 import asyncio
 import signal
@@ -25,21 +25,22 @@
 
 
 class RestartFigures(msgspec.Struct, frozen=True):
-    """Restarts after many configuration changes, and a burst of changes.
+    """Result of restarts after many configuration changes, and of a burst of changes.
 
     Attributes:
-        changes: Changes while a member and an entry were away.
-        member_serves_after_s: From the member's start until it has applied all of them.
-        member_memory_mib: The member's memory then.
-        journal_bytes: Size of its journal.
-        entry_current_after_s: From a new entry's start until it is provably current.
-        entry_received_bytes: Upper bound of what it received: the members' sent bytes meanwhile.
-        burst: Changes in the burst.
-        burst_s: Time the burst took.
-        entries: Hollow entries that follow.
-        in_force_p50_ms: From acceptance to adoption, over all entries and changes.
+        changes: Changes while a member was stopped, and before the first entry started.
+        member_serves_after_s: Time from the member's start until it has applied all changes.
+        member_memory_mib: Resident memory of the member at that time.
+        journal_bytes: Size of the member's journal.
+        entry_current_after_s: Time from the start of a new entry until it has proof of freshness.
+        entry_received_bytes: Upper bound of the bytes that it received in that time: all bytes that
+            the members sent.
+        burst: Number of changes in the burst.
+        burst_s: Duration of the burst, in seconds.
+        entries: Number of hollow entries.
+        in_force_p50_ms: Median time from acceptance of a change to adoption, over all entries.
         in_force_p99_ms: The same at the 99th percentile.
-        in_force_max_ms: The longest.
+        in_force_max_ms: The maximum.
     """
 
     changes: int
@@ -59,8 +60,8 @@
 async def _restart(site: Site, entries: int) -> RestartFigures:
     client = leader_client(site)
     leader = await leader_index(site)
-    away = next(index for index in range(3) if index != leader)
-    process = site.processes[f"control-{away}"]
+    stopped = next(index for index in range(3) if index != leader)
+    process = site.processes[f"control-{stopped}"]
     process.send(signal.SIGKILL)
     process.wait()
     revision = await apply_changes(client, 0, CHANGES)
@@ -68,22 +69,22 @@
     process.start()
     while True:
         try:
-            status = await fetch_operator(site, away, "/v1/status", Status)
+            status = await fetch_operator(site, stopped, "/v1/status", Status)
         except RuntimeError:
             await asyncio.sleep(0.02)
             continue
         if status.revision >= revision and status.entries is not None:
             break
         await asyncio.sleep(0.02)
-    member_s = time.monotonic() - started_s
+    member_ready_s = time.monotonic() - started_s
     memory_mib = process.resident_mib()
-    journal_bytes = (site.folder / f"control-{away}" / "journal").stat().st_size
+    journal_bytes = (site.folder / f"control-{stopped}" / "journal").stat().st_size
     sent_before = await sent_bytes(site)
     entry = HollowEntry(site, 0)
-    entry_s = await wait_until(entry.is_current)
-    received = await sent_bytes(site) - sent_before
-    crowd = [entry, *(HollowEntry(site, number) for number in range(1, entries))]
-    await wait_until(lambda: all(item.is_current() for item in crowd))
+    entry_current_s = await wait_until(entry.is_current)
+    received_bytes = await sent_bytes(site) - sent_before
+    hollow_entries = [entry, *(HollowEntry(site, number) for number in range(1, entries))]
+    await wait_until(lambda: all(item.is_current() for item in hollow_entries))
     accepted_s: dict[int, float] = {}
     burst_started_s = time.monotonic()
     for number in range(100):
@@ -93,23 +94,23 @@
         revision = result.revision
         accepted_s[revision] = time.monotonic()
     burst_s = time.monotonic() - burst_started_s
-    await wait_until(lambda: all(revision in item.adopted_s for item in crowd))
+    await wait_until(lambda: all(revision in item.adopted_s for item in hollow_entries))
     delays_ms = sorted(
-        (item.adopted_s[wanted] - accepted_s[wanted]) * 1000
-        for item in crowd
-        for wanted in accepted_s
-        if wanted in item.adopted_s
+        (item.adopted_s[changed_revision] - accepted_s[changed_revision]) * 1000
+        for item in hollow_entries
+        for changed_revision in accepted_s
+        if changed_revision in item.adopted_s
     )
-    for item in crowd:
+    for item in hollow_entries:
         item.stop()
     client.close()
     return RestartFigures(
         changes=CHANGES,
-        member_serves_after_s=round(member_s, 2),
+        member_serves_after_s=round(member_ready_s, 2),
         member_memory_mib=round(memory_mib, 1),
         journal_bytes=journal_bytes,
-        entry_current_after_s=round(entry_s, 3),
-        entry_received_bytes=received,
+        entry_current_after_s=round(entry_current_s, 3),
+        entry_received_bytes=received_bytes,
         burst=len(accepted_s),
         burst_s=round(burst_s, 1),
         entries=entries,
@@ -120,7 +121,7 @@
 
 
 def run_restart_bench(entries: int, folder: Path) -> RestartFigures:
-    """Restart a member and an entry after a thousand changes; then change in a burst."""
+    """Restart a member and an entry after `CHANGES` changes, then apply a burst of changes."""
     site = control_site(folder)
     try:
         return asyncio.run(_restart(site, entries))
--- a/src/crowsill_lab/bench/site.py
+++ b/src/crowsill_lab/bench/site.py
@@ -1,4 +1,4 @@
-"""A small deployment for measurements, with its configuration written to files."""
+"""A small deployment for benchmarks, with its configuration written to files."""
 
 import asyncio
 import hashlib
@@ -14,7 +14,7 @@
 
 TOKEN = "bench-token"
 MODEL = "bench-model"
-SERVED_TIMEOUT_S = 60.0
+READY_TIMEOUT_S = 60.0
 ZONES = ["z1", "z2", "z3"]
 
 _TEMPLATE = f"""
@@ -65,7 +65,7 @@
     engine: EngineShape,
     service: ServiceShape,
 ) -> LabDeployment:
-    """Describe a deployment with one model and one pool of services."""
+    """Return a deployment with one model and one pool of service replicas."""
     return LabDeployment(
         zones=ZONES,
         entries=entries,
@@ -82,21 +82,21 @@
 
 
 def crowsill(site: Site, *arguments: str) -> str:
-    """Run the operators' command; return its output.
+    """Run the operator command line on a site; return its output.
 
     Raises:
         RuntimeError: The command failed.
     """
     command = [sys.executable, "-m", "crowsill.cli.main", *arguments]
     command += ["--settings", str(site.operator_settings)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-    if done.returncode != 0:
-        raise RuntimeError(done.stdout + done.stderr)
-    return done.stdout
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
+    if completed.returncode != 0:
+        raise RuntimeError(completed.stdout + completed.stderr)
+    return completed.stdout
 
 
 def start_site(deployment: LabDeployment, folder: Path) -> Site:
-    """Start a deployment, apply its configuration and wait until every entry serves."""
+    """Start a deployment, apply its configuration and wait until every entry serves the model."""
     site = Site(deployment, folder.absolute())
     try:
         site.start()
@@ -105,33 +105,35 @@
         (files / "template.toml").write_text(_TEMPLATE)
         (files / "parameters.toml").write_text(_PARAMETERS)
         crowsill(site, "apply", str(files))
-        asyncio.run(_wait_until_served(site))
+        asyncio.run(_wait_until_loaded_and_served(site))
     except BaseException:
         site.stop()
         raise
     return site
 
 
-async def _wait_until_served(site: Site) -> None:
-    """Wait until each engine holds the model and each entry answers for it."""
+async def _wait_until_loaded_and_served(site: Site) -> None:
+    """Wait until each engine has loaded the model and each entry serves it."""
     loop = asyncio.get_running_loop()
-    deadline_s = loop.time() + SERVED_TIMEOUT_S
+    deadline_s = loop.time() + READY_TIMEOUT_S
     async with aiohttp.ClientSession() as session:
         for replica in site.replicas:
-            while replica.memory_mib and not await _holds_model(session, replica.address):
+            while replica.memory_mib and not await _has_loaded_model(session, replica.address):
                 if loop.time() > deadline_s:
-                    raise RuntimeError(f"{replica.replica_id} does not load the model")
+                    raise RuntimeError(
+                        f"{replica.replica_id} did not load the model within the timeout"
+                    )
                 await asyncio.sleep(0.1)
-    await _wait_until_answered(site, deadline_s)
+    await _wait_until_served(site, deadline_s)
 
 
-async def _holds_model(session: aiohttp.ClientSession, address: str) -> bool:
+async def _has_loaded_model(session: aiohttp.ClientSession, address: str) -> bool:
     async with session.get(f"http://{address}{PATH_REPORT}") as response:
         report: dict[str, list[str]] = await response.json()
     return MODEL in report["resident"]
 
 
-async def _wait_until_answered(site: Site, deadline_s: float) -> None:
+async def _wait_until_served(site: Site, deadline_s: float) -> None:
     body = {"model": MODEL, "prompt": "x", "max_tokens": 1}
     headers = {"Authorization": f"Bearer {TOKEN}"}
     loop = asyncio.get_running_loop()
@@ -143,5 +145,5 @@
                     if response.status == 200:
                         break
                 if loop.time() > deadline_s:
-                    raise RuntimeError("the model is not served")
+                    raise RuntimeError("an entry did not serve the model within the timeout")
                 await asyncio.sleep(0.1)
--- a/src/crowsill_lab/bench/stops.py
+++ b/src/crowsill_lab/bench/stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of each kind of machine under load, and slow or malformed connections."""
+"""Graceful stops of each kind of process under load, and slow or malformed connections."""
 
 import asyncio
 import signal
@@ -17,24 +17,24 @@
 
 READY_TIMEOUT_S = 30.0
 GOOD_RATE_PER_S = 50.0
-OPEN_AT_ONCE = 500
-STEP_S = 3.0
+MAX_OPEN_CONNECTIONS = 500
+WARMUP_S = 3.0
 
 
 class StopFigures(msgspec.Struct, frozen=True):
-    """A planned stop of each kind of machine under one load.
+    """Result of a graceful stop of each kind of process under one load.
 
     Attributes:
-        sent: Requests of the load.
-        answered: Whole answers.
-        broken: Requests or streams cut.
-        unreachable: Connections refused.
-        refused: Refusals.
-        key_violations: Unsafe keys that ran twice, or ran though called not run.
+        sent: Requests sent.
+        answered: Complete responses.
+        broken: Requests or streams that were interrupted.
+        unreachable: Refused connections.
+        refused: Rejected requests.
+        key_violations: Keys of unsafe requests that ran twice, or ran although reported as not run.
         entry_exit_code: Exit code of the stopped entry.
         control_exit_code: Exit code of the stopped control leader.
-        engine_last_new_work_s: Last new work at the leaving engine after the first signal.
-        service_last_new_work_s: Last new work at the leaving service after the first signal.
+        engine_last_new_work_s: Time from the drain signal to the last new request at the engine.
+        service_last_new_work_s: Time from the drain signal to the last new request at the service.
     """
 
     sent: int
@@ -50,16 +50,16 @@
 
 
 class ConnectionFigures(msgspec.Struct, frozen=True):
-    """Slow and malformed connections beside good calls.
+    """Result of valid calls while slow and malformed connections are open.
 
     Attributes:
-        opened: Bad connections opened.
-        memory_before_mib: Entry's resident memory before.
-        memory_after_mib: Entry's resident memory after.
-        good_calls: Good calls beside them.
-        good_answered: Good calls answered.
-        good_p99_ms: Their time at the 99th percentile.
-        alone_p99_ms: The same without bad connections, before.
+        opened: Number of bad connections.
+        memory_before_mib: Resident memory of the entry before the bad connections.
+        memory_after_mib: Resident memory of the entry after them.
+        good_calls: Valid calls made while the bad connections were open.
+        good_answered: Valid calls that were served.
+        good_p99_ms: 99th percentile of their latency.
+        alone_p99_ms: The same without bad connections, measured before.
     """
 
     opened: int
@@ -91,12 +91,12 @@
     return await asyncio.to_thread(process.wait)
 
 
-async def _leave(site: Site, replica_id: str) -> float:
+async def _start_drain(site: Site, replica_id: str) -> float:
     await post(f"http://{site.platform}/lab/leaving/{replica_id}")
     return time.time()
 
 
-async def _last_work_s(site: Site, replica_id: str, since_s: float) -> float:
+async def _last_new_work_s(site: Site, replica_id: str, since_s: float) -> float:
     machine = next(item for item in site.replicas if item.replica_id == replica_id)
     counters = await fetch_json(f"http://{machine.address}/lab/counters")
     return round(counters["last_new_work_s"] - since_s, 2)
@@ -108,39 +108,39 @@
     if not await balancer.wait_ready(len(site.entries), READY_TIMEOUT_S):
         raise RuntimeError("entries did not become ready")
     generator = LoadGenerator(deployment, balancer, seed=1)
-    load = asyncio.create_task(generator.run(STEP_S * 6))
-    await asyncio.sleep(STEP_S)
+    load = asyncio.create_task(generator.run(WARMUP_S * 6))
+    await asyncio.sleep(WARMUP_S)
     entry_code = await _stop(site, "entry-0")
     leader = await asyncio.to_thread(_leader, site)
     control_code = await _stop(site, leader)
-    engine_s = await _leave(site, "engines-0")
-    service_s = await _leave(site, "till-0")
+    engine_drain_at_s = await _start_drain(site, "engines-0")
+    service_drain_at_s = await _start_drain(site, "till-0")
     result = await load
     prober.cancel()
     executions: dict[str, float] = {}
     for machine in site.replicas:
         if not machine.memory_mib:
-            counted = await fetch_json(f"http://{machine.address}/lab/executions")
-            for key, count in counted.items():
+            replica_executions = await fetch_json(f"http://{machine.address}/lab/executions")
+            for key, count in replica_executions.items():
                 executions[key] = executions.get(key, 0) + count
     tallies: list[Tally] = list(result.tallies.values())
-    runs = {key: int(count) for key, count in executions.items()}
+    execution_counts = {key: int(count) for key, count in executions.items()}
     return StopFigures(
         sent=sum(tally.sent for tally in tallies),
         answered=sum(tally.answered for tally in tallies),
         broken=sum(tally.broken for tally in tallies),
         unreachable=sum(tally.unreachable for tally in tallies),
         refused=sum(sum(tally.refused.values()) for tally in tallies),
-        key_violations=len(result.keys.violations(runs)),
+        key_violations=len(result.keys.violations(execution_counts)),
         entry_exit_code=entry_code,
         control_exit_code=control_code,
-        engine_last_new_work_s=await _last_work_s(site, "engines-0", engine_s),
-        service_last_new_work_s=await _last_work_s(site, "till-0", service_s),
+        engine_last_new_work_s=await _last_new_work_s(site, "engines-0", engine_drain_at_s),
+        service_last_new_work_s=await _last_new_work_s(site, "till-0", service_drain_at_s),
     )
 
 
 def run_stop_bench(folder: Path) -> StopFigures:
-    """Stop an entry, the control leader, an engine and a service by plan under load."""
+    """Stop an entry and the control leader, and drain an engine and a service, under load."""
     engine = EngineShape("engines", 10000, 32, ZONES, 3.0, 0.1, 1.0)
     deployment = bench_deployment(3, 3, engine, ServiceShape("till", 32, ZONES, 10.0))
     deployment = msgspec.structs.replace(deployment, traffic=_traffic())
@@ -151,7 +151,7 @@
         site.stop()
 
 
-_BAD_STARTS = (
+_BAD_REQUESTS = (
     b"",
     b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n",
     b"\x00\x01\x02garbage\r\n\r\n",
@@ -162,14 +162,14 @@
 )
 
 
-async def _bad_connection(entry: str, number: int, gate: asyncio.Semaphore) -> None:
+async def _bad_connection(entry: str, number: int, open_slots: asyncio.Semaphore) -> None:
     host, _, port = entry.rpartition(":")
-    async with gate:
+    async with open_slots:
         try:
             async with asyncio.timeout(5.0):
                 reader, writer = await asyncio.open_connection(host, int(port))
-                writer.write(_BAD_STARTS[number % len(_BAD_STARTS)])
-                # Held open for a while, as a slow caller would.
+                writer.write(_BAD_REQUESTS[number % len(_BAD_REQUESTS)])
+                # Keeps the connection open like a slow caller, for at most the timeout.
                 await reader.read(1)
                 await reader.read(1)
         except (OSError, TimeoutError):
@@ -180,12 +180,12 @@
 async def _connections(site: Site, count: int) -> ConnectionFigures:
     entries = list(site.entries.values())
     process = site.processes["entry-0"]
-    alone: CallResults = await drive_calls(entries, "desk", GOOD_RATE_PER_S, 5.0)
+    baseline: CallResults = await drive_calls(entries, "desk", GOOD_RATE_PER_S, 5.0)
     before_mib = process.resident_mib()
-    gate = asyncio.Semaphore(OPEN_AT_ONCE)
-    good = asyncio.create_task(drive_calls(entries, "desk", GOOD_RATE_PER_S, count / 250))
-    await asyncio.gather(*(_bad_connection(entries[0], item, gate) for item in range(count)))
-    results = await good
+    open_slots = asyncio.Semaphore(MAX_OPEN_CONNECTIONS)
+    valid_calls = asyncio.create_task(drive_calls(entries, "desk", GOOD_RATE_PER_S, count / 250))
+    await asyncio.gather(*(_bad_connection(entries[0], item, open_slots) for item in range(count)))
+    results = await valid_calls
     return ConnectionFigures(
         opened=count,
         memory_before_mib=round(before_mib, 1),
@@ -193,12 +193,12 @@
         good_calls=results.total,
         good_answered=len(results.latencies_ms),
         good_p99_ms=results.quantile_ms(0.99),
-        alone_p99_ms=alone.quantile_ms(0.99),
+        alone_p99_ms=baseline.quantile_ms(0.99),
     )
 
 
 def run_connection_bench(count: int, folder: Path) -> ConnectionFigures:
-    """Open slow and malformed connections to an entry beside good calls."""
+    """Open slow and malformed connections to an entry during valid calls."""
     shape = ServiceShape("till", 32, ZONES, 10.0)
     deployment = bench_deployment(1, 1, EngineShape("engines", 10000, 8, ["z1"]), shape)
     site = start_site(deployment, folder)
