--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -36,7 +36,7 @@
     for _ in range(2000):
         writer.write(line)
     assert time.monotonic() - started_s < 1.0
-    assert writer.left_out >= 1500
+    assert writer.dropped_lines >= 1500
     # Once the reader resumes, it receives the buffered lines and the number of dropped lines.
     reader = threading.Thread(target=lambda: found.append(read_until(read_end, b"left out")))
     found: list[bytes] = []
@@ -46,12 +46,12 @@
     # The writer accepts lines again once it has noticed that its buffer is empty. A line written
     # just before may still be dropped; waiting for such a line would never end.
     deadline_s = time.monotonic() + 5.0
-    before = writer.left_out
+    before = writer.dropped_lines
     writer.write("after\n")
-    while writer.left_out != before:
+    while writer.dropped_lines != before:
         assert time.monotonic() < deadline_s
         time.sleep(0.01)
-        before = writer.left_out
+        before = writer.dropped_lines
         writer.write("after\n")
     assert b"after" in read_until(read_end, b"after\n")
     writer.close()
@@ -73,7 +73,7 @@
     # last lines of a process that stops are missing, such as drain_finished (E102).
     reader, descriptor = os.pipe()
     writer = LogWriter(descriptor)
-    write_out = writer._write_out
+    write_out = writer._write_all
 
     def write_out_and_close(text):
         write_out(text)
@@ -81,7 +81,7 @@
             writer.write("last\n")
             writer._closing = True
 
-    monkeypatch.setattr(writer, "_write_out", write_out_and_close)
+    monkeypatch.setattr(writer, "_write_all", write_out_and_close)
     writer.write("first\n")
     writer._thread.join(5.0)
     writer.close()
