--- a/src/crowsill_lab/bench/replacement.py
+++ b/src/crowsill_lab/bench/replacement.py
@@ -18,7 +18,7 @@
     leader_index,
 )
 from crowsill_lab.bench.operator_http import fetch_operator
-from crowsill_lab.bench.site import crowsill
+from crowsill_lab.bench.site import run_operator_command
 from crowsill_lab.demo.site import Site
 
 
@@ -56,7 +56,7 @@
     for _ in range(100):
         try:
             output = await asyncio.to_thread(
-                crowsill, site, "members", "replace", name, "127.0.0.1", port
+                run_operator_command, site, "members", "replace", name, "127.0.0.1", port
             )
             break
         except RuntimeError:
--- a/src/crowsill_lab/bench/site.py
+++ b/src/crowsill_lab/bench/site.py
@@ -81,7 +81,7 @@
     )
 
 
-def crowsill(site: Site, *arguments: str) -> str:
+def run_operator_command(site: Site, *arguments: str) -> str:
     """Run the operator command line on a site; return its output.
 
     Raises:
@@ -104,7 +104,7 @@
         files.mkdir()
         (files / "template.toml").write_text(_TEMPLATE)
         (files / "parameters.toml").write_text(_PARAMETERS)
-        crowsill(site, "apply", str(files))
+        run_operator_command(site, "apply", str(files))
         asyncio.run(_wait_until_loaded_and_served(site))
     except BaseException:
         site.stop()
--- a/src/crowsill_lab/bench/stops.py
+++ b/src/crowsill_lab/bench/stops.py
@@ -8,7 +8,14 @@
 import msgspec
 
 from crowsill_lab.bench.calls import CallResults, drive_calls, fetch_json, post
-from crowsill_lab.bench.site import MODEL, TOKEN, ZONES, bench_deployment, crowsill, start_site
+from crowsill_lab.bench.site import (
+    MODEL,
+    TOKEN,
+    ZONES,
+    bench_deployment,
+    run_operator_command,
+    start_site,
+)
 from crowsill_lab.demo.site import Site
 from crowsill_lab.load.balancer import Balancer
 from crowsill_lab.load.generator import LoadGenerator
@@ -79,7 +86,7 @@
 
 
 def _leader(site: Site) -> str:
-    for line in crowsill(site, "status").splitlines():
+    for line in run_operator_command(site, "status").splitlines():
         if line.endswith("leader"):
             return line.split()[0]
     raise RuntimeError("no leader")
--- a/src/crowsill_lab/demo/runner.py
+++ b/src/crowsill_lab/demo/runner.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from crowsill_lab.bench.site import crowsill
+from crowsill_lab.bench.site import run_operator_command
 from crowsill_lab.demo.site import Site
 from crowsill_lab.load.balancer import Balancer
 from crowsill_lab.load.generator import LoadGenerator, LoadResult
@@ -38,11 +38,11 @@
 
     def apply(self) -> None:
         """Apply the templates and parameters with the operators' command."""
-        print(crowsill(self._site, "apply", str(self._configuration)).strip())
+        print(run_operator_command(self._site, "apply", str(self._configuration)).strip())
 
     def status(self) -> str:
         """Return what the operators' command shows."""
-        return crowsill(self._site, "status")
+        return run_operator_command(self._site, "status")
 
     async def run(self, seconds: float) -> int:
         """Drive the load with its disturbances; return the exit code."""
