--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -34,8 +34,8 @@
 RESPONSE_MARGIN_S = 0.02
 # A request for a model is not sent to an engine whose expected first event exceeds this multiple of
 # the route's target latency, or `MIN_FIRST_EVENT_LIMIT_MS` if that is larger. An engine that gets
-# more than it can serve in time serves no request in time. `wait_decision` decides whether a request that
-# is not sent waits.
+# more than it can serve in time serves no request in time. `wait_decision` decides whether a
+# request that is not sent waits.
 MAX_FIRST_EVENT_TARGETS = 2.0
 MIN_FIRST_EVENT_LIMIT_MS = 1000.0
 MAX_ROUTES_WAIT_S = 1.2
