--- a/src/crowsill/api/registrations.py
+++ b/src/crowsill/api/registrations.py
@@ -17,7 +17,7 @@
 from crowsill.constants import MAX_BODY_BYTES
 from crowsill.control.registrations import Registrations
 from crowsill.errors import ErrorKind, Problem
-from crowsill.model.instances import Beat, instance_fault
+from crowsill.model.instances import ReplicaHeartbeat, instance_fault
 
 
 class HeartbeatAnswer(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
         if not isinstance(body, Success):
             answer_problem(response, body.failure(), request_id_of(request))
             return
-        published = await self._registrations.publish(body.unwrap())
+        published = await self._registrations.publish_routes(body.unwrap())
         if not isinstance(published, Success):
             answer_problem(response, published.failure(), request_id_of(request))
             return
@@ -59,7 +59,7 @@
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         """Return the routes in force as they were sent."""
-        current = await self._registrations.current()
+        current = await self._registrations.current_routes()
         if not isinstance(current, Success):
             answer_problem(response, current.failure(), request_id_of(request))
             return
@@ -78,13 +78,13 @@
     async def on_put(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, instance_id: str
     ) -> None:
-        """Take in a heartbeat: the JSON of a `Beat`."""
+        """Take in a heartbeat: the JSON of a `ReplicaHeartbeat`."""
         body = await read_body(request, MAX_BODY_BYTES)
         if not isinstance(body, Success):
             answer_problem(response, body.failure(), request_id_of(request))
             return
         try:
-            beat = msgspec.json.decode(body.unwrap(), type=Beat)
+            beat = msgspec.json.decode(body.unwrap(), type=ReplicaHeartbeat)
         except msgspec.DecodeError as error:
             problem = Problem(ErrorKind.INVALID_REQUEST, f"heartbeat: {error}")
             answer_problem(response, problem, request_id_of(request))
@@ -98,7 +98,7 @@
             problem = Problem(ErrorKind.INVALID_REQUEST, f"heartbeat: {fault}")
             answer_problem(response, problem, request_id_of(request))
             return
-        taken = await self._registrations.beat(beat)
+        taken = await self._registrations.record_heartbeat(beat)
         if not isinstance(taken, Success):
             answer_problem(response, taken.failure(), request_id_of(request))
             return
@@ -109,7 +109,7 @@
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, instance_id: str
     ) -> None:
         """Record that the replica is gone."""
-        left = await self._registrations.leave(instance_id)
+        left = await self._registrations.deregister(instance_id)
         if not isinstance(left, Success):
             answer_problem(response, left.failure(), request_id_of(request))
 
--- a/src/crowsill/backends/engine_calls.py
+++ b/src/crowsill/backends/engine_calls.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from crowsill.model.instances import HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel
 from crowsill.state.commands import OrderKind
 
 
@@ -66,7 +66,7 @@
         sequence: Orders that it has accepted.
     """
 
-    models: list[HeldModel]
+    models: list[LoadedModel]
     coming: list[str]
     is_busy: bool
     sequence: int
@@ -76,10 +76,10 @@
     """Speaks to engines; one implementation for each dialect.
 
     Attributes:
-        on_leaving: Receives the ids of lives that said in an answer that they leave.
+        on_draining: Receives the ids of lives that said in an answer that they leave.
     """
 
-    on_leaving: Callable[[list[str]], None]
+    on_draining: Callable[[list[str]], None]
 
     async def order(self, instance: Instance, order: EngineOrder) -> OrderAnswer:
         """Send an order; `UNKNOWN` when no answer came, so that it may still be carried out."""
--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -1,4 +1,4 @@
-"""The port through which an exchange reaches what the gateway's process shares."""
+"""The interface through which an exchange uses the shared state of the gateway process."""
 
 from random import Random
 from typing import Protocol
@@ -6,22 +6,22 @@
 from crowsill.gateway.crash_guard import CrashGuard
 from crowsill.gateway.crash_watch import CrashWatch
 from crowsill.gateway.demand import DemandReporter
-from crowsill.gateway.dialect import HeaderNames
 from crowsill.gateway.fingerprint import Fingerprints
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.pool import ConnectionPool
 from crowsill.gateway.quota import GrantClient
-from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
 from crowsill.gateway.replica_grants import ReplicaGrants
-from crowsill.gateway.routing_table import GatewayTable
+from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
+from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.routing.shared_budget import SharedBudget
 
 
 class ExchangeContext(Protocol):
-    """What an exchange works with; the gateway's role provides it."""
+    """Shared state and services of a gateway process; implemented by `GatewayRole`."""
 
     names: HeaderNames
     zone: str
-    book: ReplicaBook
+    registry: ReplicaRegistry
     pool: ConnectionPool
     random: Random
     grants: GrantClient
@@ -33,42 +33,45 @@
 
     @property
     def revocation_s(self) -> float:
-        """Time after which a key that was taken away runs nothing; 0 for no bound."""
+        """Seconds after which a revoked API key is rejected everywhere; 0 for no bound."""
 
     def proof_age_s(self) -> float:
-        """Time since this process asked what is current and was told; infinite before."""
+        """Seconds since the heartbeat that last confirmed current state; infinite before one."""
 
     @property
-    def table(self) -> GatewayTable | None:
-        """The routes in force; None before the first configuration."""
+    def table(self) -> GatewayRoutingTable | None:
+        """The routes in effect; None before they were confirmed as current."""
 
     @property
     def gateways(self) -> int:
         """Number of live gateways."""
 
     def is_stopping(self) -> bool:
-        """Whether connections end after their present answer."""
+        """Whether connections close after their current response."""
 
-    def hold_limit_s(self) -> float:
-        """Clock after which no request is held: a process that stops passes callers on."""
+    def wait_limit_at_s(self) -> float:
+        """Monotonic time after which no request waits for a replica; infinite before a shutdown.
 
-    def stop_limit_s(self) -> float:
-        """Clock at which a process that stops ends what still runs; infinite before."""
+        Another gateway can serve the caller.
+        """
+
+    def stop_limit_at_s(self) -> float:
+        """Monotonic time at which a shutdown ends requests in flight; infinite before one."""
 
     def budget(self, service: str) -> SharedBudget:
         """Return the retry budget of a service."""
 
-    def unreachable(self, record: ReplicaRecord) -> None:
-        """No connection could be made: use the replica again only when one can be."""
+    def on_unreachable(self, record: ReplicaRecord) -> None:
+        """Exclude a replica until a connection to it can be opened again."""
 
-    def rests(self, record: ReplicaRecord) -> None:
-        """A replica asked for rest: look again when that is over."""
+    def on_backoff(self, record: ReplicaRecord) -> None:
+        """Check a replica that requested a backoff again after it."""
 
-    def leaves(self, record: ReplicaRecord) -> None:
-        """A replica said that it leaves: tell the group until that knows."""
+    def on_draining(self, record: ReplicaRecord) -> None:
+        """Report to the group that a replica drains, until the group has recorded it."""
 
-    def limit_changed(self, record: ReplicaRecord) -> None:
-        """A replica named a limit, another one or none any more: tell the group."""
+    def on_limit_changed(self, record: ReplicaRecord) -> None:
+        """Report to the group that a replica changed, added or withdrew its rate limit."""
 
-    async def changed(self, timeout_s: float) -> bool:
-        """Wait for a change of the directory or the routes; return whether one came."""
+    async def wait_for_change(self, timeout_s: float) -> bool:
+        """Wait for a change of the directory or the routes; return whether there was one."""
--- a/src/crowsill/gateway/exchange_log.py
+++ b/src/crowsill/gateway/exchange_log.py
@@ -1,28 +1,28 @@
-"""What an exchange says of its decisions: log lines and counters."""
+"""Log lines and metrics of one exchange."""
 
 import asyncio
 
 from crowsill.events import Event
 from crowsill.gateway.attempt import Attempt
 from crowsill.gateway.fingerprint import Fingerprints
-from crowsill.gateway.holding import wait_budget_of
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import Choice, NoChoice
+from crowsill.gateway.selection import Choice, NoReplicaReason
+from crowsill.gateway.wait_decision import wait_budget
 from crowsill.logs import log_event
 from crowsill.metrics import GATEWAY_FIRST_BYTE_S, GATEWAY_REQUESTS, REPLICA_SIGNALS
 from crowsill.model.routes import Route, RouteKind
 
 
 class ExchangeLog:
-    """Lines and counters of one request.
+    """Logs and counts one request.
 
     Attributes:
-        service: Its service, once it is known.
-        route: Its route, once it is known.
-        tenant: Whose it is, once it is known; empty where nobody needs a key.
-        units: What it counts to the tenant's rate; 0 where that is not limited.
+        service: Service of the request; empty until it is known.
+        route: Route of the request; None until it is known.
+        tenant: Tenant of the caller; empty until it is known, and where no API key is needed.
+        units: Units charged to the tenant's rate limit; 0 without a rate limit.
     """
 
     def __init__(self, request: CallerRequest, fingerprints: Fingerprints) -> None:
@@ -41,7 +41,7 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """What it has in common with other sendings of the same request."""
+        """Fingerprint of the request; equal for duplicates."""
         return self._fingerprints.of(self._request, self.tenant)
 
     @property
@@ -53,25 +53,32 @@
         return "" if self.route is None else self.route.name
 
     def _has_returned(self) -> bool:
-        """Whether the caller was refused before."""
+        """Whether the caller has sent the request again after a rejection."""
         if self.route is None:
             return False
-        return wait_budget_of(self.route, self._request.wait_ms, 0.0).has_returned
+        return wait_budget(self.route, self._request.wait_ms, 0.0).is_retry
 
     def _is_late(self, first_ms: float, gap_ms: float) -> bool:
-        """Whether an answer came after its target, or paused longer than its route allows."""
+        """Whether the response missed its target latency, or had a gap longer than its target."""
         route = self.route
         if route is None:
             return False
-        taken_ms = first_ms if route.kind is RouteKind.STREAM and first_ms else self._age_ms()
-        pauses = 0.0 < route.target_gap_ms < gap_ms
-        return taken_ms > route.target_latency_ms or pauses
+        latency_ms = first_ms if route.kind is RouteKind.STREAM and first_ms else self._age_ms()
+        has_long_gap = 0.0 < route.target_gap_ms < gap_ms
+        return latency_ms > route.target_latency_ms or has_long_gap
 
     def _age_ms(self) -> float:
-        return round((self._loop.time() - self._request.arrived_s) * 1000.0, 1)
+        return round((self._loop.time() - self._request.arrived_at_s) * 1000.0, 1)
 
-    def routed(self, choice: Choice, sending: int, version: int, directory: int) -> None:
-        """It goes to a replica."""
+    def log_routed(self, choice: Choice, attempt_number: int, version: int, directory: int) -> None:
+        """Log that the request is sent to a replica.
+
+        Args:
+            choice: The replica and the reason for its choice.
+            attempt_number: Number of the attempt, from 1.
+            version: Version of the routes.
+            directory: Version of the directory.
+        """
         record = choice.record
         now_s = self._loop.time()
         log_event(
@@ -88,15 +95,15 @@
             expected_ms=round(choice.expected_ms, 1),
             known_tokens=choice.known_tokens,
             in_flight=record.in_flight,
-            others=round(record.others_now(now_s), 1),
+            others=round(record.other_requests(now_s), 1),
             peers=round(record.peer_requests(now_s), 1),
             slowness=round(record.slowness_now(now_s), 2),
-            sending=sending,
+            sending=attempt_number,
             ms=self._age_ms(),
         )
 
-    def failed(self, record: ReplicaRecord, result: str, detail: str) -> None:
-        """A replica did not answer it."""
+    def log_attempt_failed(self, record: ReplicaRecord, result: str, detail: str) -> None:
+        """Log an attempt without a response to relay."""
         log_event(
             Event.ATTEMPT_FAILED,
             request=self.request_id,
@@ -108,20 +115,20 @@
             ms=self._age_ms(),
         )
 
-    def rests(self, record: ReplicaRecord, status: int, rest_s: float) -> None:
-        """Its replica asked for rest, and did not have any."""
+    def log_backoff(self, record: ReplicaRecord, status: int, backoff_s: float) -> None:
+        """Log and count that the replica requested a backoff that was not in effect before."""
         REPLICA_SIGNALS.labels("rest").inc()
         log_event(
             Event.REPLICA_RESTS,
             replica=record.instance.instance_id,
             status=status,
-            rest_s=round(rest_s, 3),
+            rest_s=round(backoff_s, 3),
             in_flight=record.in_flight,
             request=self.request_id,
         )
 
-    def leaves(self, record: ReplicaRecord, status: int) -> None:
-        """Its replica said for the first time that it leaves."""
+    def log_draining(self, record: ReplicaRecord, status: int) -> None:
+        """Log and count that the replica reported for the first time that it drains."""
         REPLICA_SIGNALS.labels("leaving").inc()
         log_event(
             Event.REPLICA_LEAVES,
@@ -131,8 +138,8 @@
             request=self.request_id,
         )
 
-    def limited(self, record: ReplicaRecord, per_s: float) -> None:
-        """Its replica names a limit, for the first time or another one than before."""
+    def log_limited(self, record: ReplicaRecord, per_s: float) -> None:
+        """Log and count that the replica advertises a new or changed rate limit."""
         REPLICA_SIGNALS.labels("limit").inc()
         log_event(
             Event.REPLICA_LIMITED,
@@ -143,8 +150,8 @@
             request=self.request_id,
         )
 
-    def unlimited(self, record: ReplicaRecord) -> None:
-        """Its replica names no limit any more."""
+    def log_unlimited(self, record: ReplicaRecord) -> None:
+        """Log that the replica no longer advertises a rate limit."""
         log_event(
             Event.REPLICA_UNLIMITED,
             replica=record.instance.instance_id,
@@ -152,35 +159,37 @@
             request=self.request_id,
         )
 
-    def unreadable(self, record: ReplicaRecord, unread: str) -> None:
-        """Its replica said something of itself that cannot be read, for the first time."""
+    def log_unreadable(self, record: ReplicaRecord, unreadable_value: str) -> None:
+        """Log and count the first signal of the replica that can't be parsed."""
         REPLICA_SIGNALS.labels("unreadable").inc()
-        log_event(Event.SIGNAL_UNREADABLE, replica=record.instance.instance_id, word=unread)
+        log_event(
+            Event.SIGNAL_UNREADABLE, replica=record.instance.instance_id, word=unreadable_value
+        )
 
-    def held(self, why: NoChoice, directory: int) -> None:
-        """It waits."""
+    def log_waiting(self, reason: NoReplicaReason, directory: int) -> None:
+        """Log that the request waits for a replica."""
         log_event(
             Event.REQUEST_HELD,
             request=self.request_id,
             service=self.service,
             resource=self._request.resource,
-            why=why,
+            why=reason,
             directory=directory,
             ms=self._age_ms(),
         )
 
-    def finished(self, status: int, sendings: int, attempt: Attempt | None) -> None:
-        """It was answered whole."""
+    def log_finished(self, status: int, attempts: int, attempt: Attempt | None) -> None:
+        """Log and count a complete response."""
         self._count("answered", attempt)
         first_ms, gap_ms = 0.0, 0.0
-        if attempt is not None and attempt.first_data_s is not None:
-            first_ms = (attempt.first_data_s - self._request.arrived_s) * 1000.0
-            gap_ms = attempt.longest_gap_s * 1000.0
+        if attempt is not None and attempt.first_data_at_s is not None:
+            first_ms = (attempt.first_data_at_s - self._request.arrived_at_s) * 1000.0
+            gap_ms = attempt.max_gap_s * 1000.0
         log_event(
             Event.REQUEST_FINISHED,
             request=self.request_id,
             status=status,
-            sendings=sendings,
+            sendings=attempts,
             first_ms=round(first_ms, 1),
             gap_ms=round(gap_ms, 1),
             late=self._is_late(first_ms, gap_ms),
@@ -189,14 +198,14 @@
             ms=self._age_ms(),
         )
 
-    def refused(
+    def log_rejected(
         self,
         kind: str,
         detail: str,
         progress: Progress,
         retry_after_s: float | None,
     ) -> None:
-        """It was given up."""
+        """Log and count a rejected or failed request."""
         self._count(kind, progress.attempt)
         log_event(
             Event.REQUEST_REFUSED,
@@ -207,7 +216,7 @@
             resource=self._request.resource,
             kind=kind,
             detail=detail,
-            sendings=progress.sendings,
+            sendings=progress.attempts,
             may_have_run=progress.may_have_run,
             retry_after_s="" if retry_after_s is None else retry_after_s,
             returned=self._has_returned(),
@@ -217,6 +226,6 @@
 
     def _count(self, result: str, attempt: Attempt | None) -> None:
         GATEWAY_REQUESTS.labels(self._kind, result).inc()
-        first_s = None if attempt is None else attempt.first_data_s
+        first_s = None if attempt is None else attempt.first_data_at_s
         if first_s is not None:
-            GATEWAY_FIRST_BYTE_S.labels(self._kind).observe(first_s - self._request.arrived_s)
+            GATEWAY_FIRST_BYTE_S.labels(self._kind).observe(first_s - self._request.arrived_at_s)
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -1,64 +1,64 @@
-"""What has been done for one request so far."""
+"""The state of one request while it is served."""
 
 from dataclasses import dataclass, field
 
 from crowsill.gateway.attempt import Attempt
 from crowsill.gateway.availability import Availability
-from crowsill.gateway.replica_book import ReplicaRecord
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.replica_registry import ReplicaRecord
+from crowsill.gateway.selection import NoReplicaReason
 
 
 @dataclass(slots=True)
 class Progress:
-    """What has been done for a request.
+    """The attempts made for a request so far.
 
     Attributes:
-        tried: Ids of instances that have had it.
-        sendings: How often it was sent.
+        tried: Ids of the instances that it was sent to.
+        attempts: How often it was sent.
         runs: How often a replica ran it, or may have.
-        may_have_run: Whether "not run" may no longer be said.
-        last: Why the last sending brought nothing, for the refusal.
-        held_for: Why it was held last.
-        attempt: The present sending, or the last one.
+        may_have_run: Whether a rejection may no longer say "not run".
+        last_failure: Why the last attempt failed, for the error message.
+        waiting_reason: Why it waited last.
+        attempt: The current attempt, or the last one.
     """
 
     tried: set[str] = field(default_factory=set)
-    sendings: int = 0
+    attempts: int = 0
     runs: int = 0
     may_have_run: bool = False
-    last: str = ""
-    held_for: NoChoice | None = None
+    last_failure: str = ""
+    waiting_reason: NoReplicaReason | None = None
     attempt: Attempt | None = None
 
 
 class PendingPrompt:
-    """A prompt that a replica has not read yet, counted until its first event or its end."""
+    """A prompt that a replica has not read yet; counted until its first event or its end."""
 
-    def __init__(self, record: ReplicaRecord, tokens: int, sent_s: float) -> None:
+    def __init__(self, record: ReplicaRecord, tokens: int, sent_at_s: float) -> None:
         self._record = record
         self._tokens = tokens
         self._is_counted = True
         record.pending_prompt_tokens += tokens
-        record.unanswered_s[id(self)] = sent_s
+        record.unanswered_sent_at_s[id(self)] = sent_at_s
 
-    def read(self) -> None:
-        """Count it no more."""
+    def stop_counting(self) -> None:
+        """Stop counting it."""
         if not self._is_counted:
             return
         self._is_counted = False
         self._record.pending_prompt_tokens -= self._tokens
-        del self._record.unanswered_s[id(self)]
+        del self._record.unanswered_sent_at_s[id(self)]
 
 
-class Trial:
-    """A sending to a replica that may have few after a rest, counted until it is answered."""
+class Probe:
+    """An attempt at a replica that accepts few after a backoff; counted until its response."""
 
     def __init__(self, availability: Availability) -> None:
         self._availability = availability
-        self._is_counted = availability.begin_trial()
+        self._is_counted = availability.begin_probe()
 
     def end(self) -> None:
-        """Count it no more."""
+        """Stop counting it."""
         if self._is_counted:
             self._is_counted = False
-            self._availability.end_trial()
+            self._availability.end_probe()
--- /dev/null
+++ b/src/crowsill/gateway/sender.py
@@ -0,0 +1,229 @@
+"""Sends one request to the chosen replica and records the result."""
+
+import asyncio
+import functools
+
+from crowsill.gateway.admission import Admission
+from crowsill.gateway.attempt import Attempt, AttemptEnd, AttemptResult
+from crowsill.gateway.caller_protocol import CallerConnection
+from crowsill.gateway.context import ExchangeContext
+from crowsill.gateway.exchange_log import ExchangeLog
+from crowsill.gateway.forwarding import ForwardingTerms, encode_forwarded_request
+from crowsill.gateway.pool import ConnectError
+from crowsill.gateway.progress import PendingPrompt, Probe, Progress
+from crowsill.gateway.repeat_guard import RepeatGuard
+from crowsill.gateway.replica_connection import ReplicaConnection
+from crowsill.gateway.replica_feedback import ReplicaFeedback
+from crowsill.gateway.replica_registry import ReplicaRecord
+from crowsill.gateway.replica_signals import ReplicaSignals
+from crowsill.gateway.request import CallerRequest
+from crowsill.gateway.routing_table import is_urgent
+from crowsill.gateway.selection import Choice
+from crowsill.metrics import GATEWAY_ATTEMPTS, SENT_IN_REST, SENT_UNDER_LIMIT
+from crowsill.model.routes import Route, RouteKind
+
+
+class Sender:
+    """Runs the attempts of one request, one after the other."""
+
+    def __init__(
+        self,
+        context: ExchangeContext,
+        caller: CallerConnection,
+        request: CallerRequest,
+        progress: Progress,
+        log: ExchangeLog,
+        *,
+        admission: Admission,
+        repeat_guard: RepeatGuard,
+    ) -> None:
+        self._context = context
+        self._caller = caller
+        self._request = request
+        self._progress = progress
+        self._log = log
+        self._admission = admission
+        self._repeat_guard = repeat_guard
+        self._feedback = ReplicaFeedback(context, request, progress, log)
+        self._loop = asyncio.get_running_loop()
+
+    async def send(
+        self, route: Route, choice: Choice, deadline_at_s: float, closes_connection: bool
+    ) -> AttemptEnd | None:
+        """Send the request to a replica; return None if nothing could be sent.
+
+        Args:
+            route: The request's route.
+            choice: The replica.
+            deadline_at_s: Monotonic time of the request's deadline.
+            closes_connection: Whether the caller's connection closes after the response.
+        """
+        is_tracked = self._repeat_guard.begin_attempt()
+        try:
+            grant_expires_at_s = await self._acquire_grant(route, choice.record)
+            if grant_expires_at_s is None:
+                return None
+            self._log_routed(choice)
+            return await self._send_with_grant(
+                route, choice, deadline_at_s, closes_connection, grant_expires_at_s
+            )
+        finally:
+            if is_tracked:
+                self._repeat_guard.finish_attempt()
+
+    async def _send_with_grant(
+        self,
+        route: Route,
+        choice: Choice,
+        deadline_at_s: float,
+        closes_connection: bool,
+        grant_expires_at_s: float,
+    ) -> AttemptEnd | None:
+        """Send the request as `send` does, unless the replica's grant expires first."""
+        record, request, context = choice.record, self._request, self._context
+        instance_id = record.instance.instance_id
+        self._progress.tried.add(instance_id)
+        unread_tokens = max(0, request.prompt_tokens - choice.known_tokens)
+        record.in_flight += 1
+        prompt = PendingPrompt(record, unread_tokens, self._loop.time())
+        probe = Probe(record.availability)
+        reusable = False
+        connection = None
+        try:
+            connection = await context.pool.acquire(
+                record.instance, deadline_at_s - self._loop.time()
+            )
+            attempt = self._new_attempt(route, record, connection, closes_connection)
+            attempt.on_first_data = prompt.stop_counting
+            attempt.on_signals = functools.partial(self._handle_signals, record, probe, attempt)
+            # Checked again after the last wait: opening the connection may have taken a second.
+            if (
+                self._admission.recheck() is not None
+                or self._repeat_guard.quarantine_rejection() is not None
+            ):
+                return None
+            if not self._is_still_sendable(record, grant_expires_at_s):
+                self._progress.tried.discard(instance_id)
+                reusable = True
+                return None
+            sent_at_s = self._write_request(route, record, attempt, connection, deadline_at_s)
+            end = await attempt.ended
+            reusable = end.result in (AttemptResult.COMPLETE, AttemptResult.NOT_RUN)
+            self._feedback.note_attempt_end(choice, attempt, end, sent_at_s)
+            self._repeat_guard.note_attempt_end(record.instance, end, sent_at_s)
+            self._feedback.note_overload(route, attempt, sent_at_s)
+            return end
+        except ConnectError as error:
+            record.note_failure(self._loop.time())
+            if error.is_refused:
+                context.crash_watch.note_refused_connection(record.instance)
+            context.on_unreachable(record)
+            GATEWAY_ATTEMPTS.labels("unreachable").inc()
+            self._progress.last_failure = f"connect: {error}"
+            self._log.log_attempt_failed(record, "unreachable", str(error))
+            return None
+        finally:
+            record.in_flight -= 1
+            prompt.stop_counting()
+            probe.end()
+            self._end_attempt(record)
+            if connection is not None:
+                context.pool.release(instance_id, connection, reusable)
+
+    def _log_routed(self, choice: Choice) -> None:
+        """Log the chosen replica and the versions of routes and directory it was chosen by."""
+        context = self._context
+        version = 0 if context.table is None else context.table.version
+        self._log.log_routed(choice, self._progress.attempts + 1, version, context.registry.version)
+
+    async def _acquire_grant(self, route: Route, record: ReplicaRecord) -> float | None:
+        """Return until when the request may be sent to a replica; None if it may not be sent now.
+
+        A replica without a rate limit needs no grant. If it advertises its first limit before the
+        request is sent, the request needs one after all.
+        """
+        if not record.availability.limit.is_in_effect(self._loop.time()):
+            return float("-inf")
+        return await self._context.replica_grants.acquire(record, is_urgent(route))
+
+    def _is_still_sendable(self, record: ReplicaRecord, grant_expires_at_s: float) -> bool:
+        """Whether the request may still be sent to the chosen replica."""
+        now_s = self._loop.time()
+        if self._context.registry.find(record.instance.instance_id) is not record:
+            return False
+        if record.availability.limit.is_in_effect(now_s) and now_s >= grant_expires_at_s:
+            return False
+        return record.availability.accepts_on_open_connection(now_s)
+
+    def _new_attempt(
+        self,
+        route: Route,
+        record: ReplicaRecord,
+        connection: ReplicaConnection,
+        closes_connection: bool,
+    ) -> Attempt:
+        """Create the current attempt at a replica on a connection."""
+        is_stream = route.kind is RouteKind.STREAM
+        attempt = Attempt(self._caller, self._context.names, is_stream, closes_connection)
+        attempt.connection = connection
+        if self._request.model:
+            attempt.on_gap = record.note_event_gap
+        self._progress.attempt = attempt
+        return attempt
+
+    def _write_request(
+        self,
+        route: Route,
+        record: ReplicaRecord,
+        attempt: Attempt,
+        connection: ReplicaConnection,
+        deadline_at_s: float,
+    ) -> float:
+        """Write the request to a connection; return the monotonic time in seconds."""
+        request = self._request
+        sent_at_s = attempt.sent_at_s = self._loop.time()
+        terms = self._forwarding_terms(
+            route, record.instance.replica_name, deadline_at_s - sent_at_s
+        )
+        message = encode_forwarded_request(request, self._context.names, terms)
+        if record.availability.is_backing_off(sent_at_s):
+            record.availability.sent_in_backoff += 1
+            SENT_IN_REST.inc()
+        if record.availability.limit.is_advertised:
+            record.availability.sent_under_limit += 1
+            SENT_UNDER_LIMIT.inc()
+        self._progress.attempts += 1
+        self._progress.may_have_run = True
+        connection.send(message, request.request_id, request.method == b"HEAD", attempt)
+        return sent_at_s
+
+    def _handle_signals(
+        self,
+        record: ReplicaRecord,
+        probe: Probe,
+        attempt: Attempt,
+        status: int,
+        signals: ReplicaSignals,
+    ) -> None:
+        """Handle the signals in the head of a response."""
+        probe.end()
+        self._feedback.process_signals(record, attempt.sent_at_s, status, signals)
+        if signals.backoff_s > 0.0:
+            # The replica rejected the request; it may get it again after its backoff.
+            self._progress.tried.discard(record.instance.instance_id)
+
+    def _end_attempt(self, record: ReplicaRecord) -> None:
+        """Record the end of an attempt, also of one that was cancelled."""
+        attempt = self._progress.attempt
+        if attempt is None:
+            return
+        self._feedback.check_silence(record, attempt)
+        if attempt.connection is not None and attempt.was_abandoned:
+            self._repeat_guard.note_abandoned(record.instance, attempt.sent_at_s)
+        attempt.connection = None
+
+    def _forwarding_terms(self, route: Route, replica: str, remaining_s: float) -> ForwardingTerms:
+        admission = self._admission
+        tenant = "" if admission.tenant is None else admission.tenant.name
+        rank = admission.rank(route)
+        return ForwardingTerms(replica, rank, remaining_s, admission.requires_key, tenant)
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -1,7 +1,7 @@
-"""What becomes of one request while no replica takes it: it waits, or comes back later.
+"""Lets a request wait while no replica can take it, or rejects it with a time to retry.
 
-The decision is that of `holding`, by the estimates of `wait_estimates`; this module has the
-request wait, and tells placement what it waits for.
+`wait_decision` decides, based on `wait_estimates`; this module does the waiting and reports demand
+to placement.
 """
 
 import asyncio
@@ -10,46 +10,45 @@
 from crowsill.gateway.availability import ExclusionReason
 from crowsill.gateway.context import ExchangeContext
 from crowsill.gateway.exchange_log import ExchangeLog
-from crowsill.gateway.holding import (
-    MOST_WAITING_TO_OPEN,
-    WaitBudget,
-    WaitEstimate,
-    return_s,
-    wait_budget_of,
-    waits,
-)
 from crowsill.gateway.progress import Progress
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
 from crowsill.gateway.routing_table import is_urgent
-from crowsill.gateway.selection import NoChoice, first_to_open
+from crowsill.gateway.selection import NoReplicaReason, first_to_open
+from crowsill.gateway.wait_decision import (
+    MAX_WAITING_TO_OPEN,
+    WaitBudget,
+    WaitEstimate,
+    retry_delay_s,
+    should_wait,
+    wait_budget,
+)
 from crowsill.gateway.wait_estimates import estimate_wait
 from crowsill.model.routes import ModelWeights, Route
 
-HOLD_POLL_S = 0.1
-ASK_AGAIN_S = 0.3
-# A process that stops sends callers on: another gateway has the same routes.
-STOPPING_RETRY_S = 0.1
+CAPACITY_POLL_S = 0.1
+DEMAND_REPEAT_S = 0.3
+# A process that stops sends callers elsewhere at once: another gateway has the same routes.
+STOPPING_RETRY_AFTER_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class RefusedRequest:
-    """A request that is given up because no replica takes it.
+class RejectedRequest:
+    """A request that is rejected because no replica can take it.
 
     Attributes:
-        why: What was in the way last.
-        back_s: When the caller should come back.
-        detail: What closes the replica that opens first, and for how long; for the reader of the
-            refusal.
+        reason: Why none could, at last.
+        retry_after_s: Time after which the caller should retry.
+        detail: What closes the replica that opens first, and for how long; for the error message.
     """
 
-    why: NoChoice
-    back_s: float
+    reason: NoReplicaReason
+    retry_after_s: float
     detail: str = ""
 
 
 class WaitingRequest:
-    """One request, as far as it waits for a replica."""
+    """The waits of one request for a replica."""
 
     def __init__(
         self,
@@ -67,99 +66,101 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
 
-    async def wait(self, why: NoChoice) -> bool:
-        """Wait for something to change; return False when it is time to give up."""
-        if why is NoChoice.ALL_TRIED:
+    async def wait(self, reason: NoReplicaReason) -> bool:
+        """Wait for something to change; return False when the request must be rejected."""
+        if reason is NoReplicaReason.ALL_TRIED:
             return False
         request = self._request
-        is_crowded = why is NoChoice.ALL_FULL or self._is_limited(why)
-        if is_crowded and self._progress.held_for is not why and request.model:
-            self._context.demand.note_pressed(self._log.service, request.model)
-        if why is NoChoice.NO_MODEL and self._weights() is not None:
-            self._context.demand.ask_for(self._log.service, request.model, request.adapter)
-        left_s = self._context.hold_limit_s() - self._loop.time()
-        if left_s <= 0.0 or not waits(self._estimate(why), self._wait_budget(), self._answer_s()):
+        is_overloaded = reason is NoReplicaReason.ALL_FULL or self._is_limited(reason)
+        if is_overloaded and self._progress.waiting_reason is not reason and request.model:
+            self._context.demand.note_overloaded(self._log.service, request.model)
+        if reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
+            self._context.demand.report_missing(self._log.service, request.model, request.adapter)
+        remaining_s = self._context.wait_limit_at_s() - self._loop.time()
+        if remaining_s <= 0.0 or not should_wait(
+            self._estimate(reason), self._wait_budget(), self._response_s()
+        ):
             return False
-        if self._progress.held_for is not why:
-            self._progress.held_for = why
-            self._log.held(why, self._context.book.version)
-        # The control group forgets what is not asked for again.
-        poll_s = HOLD_POLL_S if why is NoChoice.ALL_FULL else ASK_AGAIN_S
-        if why is NoChoice.ALL_CLOSED:
-            return await self._wait_to_open(min(left_s, poll_s))
-        await self._context.changed(min(left_s, poll_s))
+        if self._progress.waiting_reason is not reason:
+            self._progress.waiting_reason = reason
+            self._log.log_waiting(reason, self._context.registry.version)
+        # The control group forgets demand that is not reported again.
+        poll_s = CAPACITY_POLL_S if reason is NoReplicaReason.ALL_FULL else DEMAND_REPEAT_S
+        if reason is NoReplicaReason.ALL_CLOSED:
+            return await self._wait_to_open(min(remaining_s, poll_s))
+        await self._context.wait_for_change(min(remaining_s, poll_s))
         return True
 
     async def _wait_to_open(self, time_s: float) -> bool:
-        """Wait for a while; return False at once where enough others wait for the same replica.
+        """Wait for some time; return False at once if enough others wait for the same replica.
 
-        Who waits for another replica of the service keeps nobody from it. Nothing is awaited
-        between two waits of one request, so that it keeps its place.
+        Requests that wait for other replicas of the service don't count. Nothing is awaited between
+        two waits of one request, so that it keeps its position.
         """
-        awaited = self._first_to_open()
-        if awaited is None:
+        blocking = self._first_to_open()
+        if blocking is None:
             return True
-        waiting = self._context.book.waiting_to_open
-        place = (awaited.instance.instance_id, self._is_urgent)
-        if waiting[place] >= MOST_WAITING_TO_OPEN:
+        waiting = self._context.registry.waiting_to_open
+        key = (blocking.instance.instance_id, self._is_urgent)
+        if waiting[key] >= MAX_WAITING_TO_OPEN:
             return False
-        waiting[place] += 1
+        waiting[key] += 1
         try:
-            await self._context.changed(time_s)
+            await self._context.wait_for_change(time_s)
         finally:
-            waiting[place] -= 1
-            if not waiting[place]:
-                del waiting[place]
+            waiting[key] -= 1
+            if not waiting[key]:
+                del waiting[key]
         return True
 
     def _first_to_open(self) -> ReplicaRecord | None:
-        """Return the replica that opens first, of those that could run the request."""
-        records = self._context.book.of_service(self._log.service)
+        """Return the closed replica that could run the request and opens first, or None."""
+        records = self._context.registry.of_service(self._log.service)
         return first_to_open(records, self._request, self._loop.time(), self._is_urgent)
 
-    def _is_limited(self, why: NoChoice) -> bool:
-        """Whether the request waits for what the limit of a replica allows."""
-        record = self._first_to_open() if why is NoChoice.ALL_CLOSED else None
+    def _is_limited(self, reason: NoReplicaReason) -> bool:
+        """Whether the request waits for the rate limit of a replica."""
+        record = self._first_to_open() if reason is NoReplicaReason.ALL_CLOSED else None
         if record is None:
             return False
         closed = record.availability.exclusion(self._loop.time(), self._is_urgent)
-        return closed is not None and closed.why is ExclusionReason.LIMITED
+        return closed is not None and closed.reason is ExclusionReason.RATE_LIMITED
 
-    def give_up(self, why: NoChoice, rank: int) -> RefusedRequest:
-        """Decide when a request that is given up should come back.
+    def give_up(self, reason: NoReplicaReason, rank: int) -> RejectedRequest:
+        """Return the rejection of the request, with a time to retry.
 
         Args:
-            why: Why no replica takes it.
+            reason: Why no replica takes it.
             rank: Its rank.
         """
-        estimate, budget = self._estimate(why), self._wait_budget()
+        estimate, budget = self._estimate(reason), self._wait_budget()
         record = self._first_to_open()
-        if record is not None and self._is_limited(why):
+        if record is not None and self._is_limited(reason):
             now_s = self._loop.time()
-            ready_s = record.availability.promise_return_s(now_s, self._is_urgent) - now_s
+            ready_s = record.availability.reserve_return_at_s(now_s, self._is_urgent) - now_s
             estimate = replace(estimate, ready_s=ready_s)
         spread = self._context.random.random()
-        back_s = return_s(estimate, budget, rank, spread)
+        retry_after_s = retry_delay_s(estimate, budget, rank, spread)
         if self._context.is_stopping():
-            # Another gateway can wait for what this one has no time for.
-            back_s = STOPPING_RETRY_S
-        elif why is NoChoice.NO_MODEL and self._weights() is not None:
+            # Another gateway can wait longer than this one.
+            retry_after_s = STOPPING_RETRY_AFTER_S
+        elif reason is NoReplicaReason.NO_MODEL and self._weights() is not None:
             request = self._request
-            self._context.demand.keep_asking(self._log.service, request.model, request.adapter)
-        return RefusedRequest(why, back_s, self._closed_detail())
+            self._context.demand.keep_reporting(self._log.service, request.model, request.adapter)
+        return RejectedRequest(reason, retry_after_s, self._closed_detail())
 
     def _wait_budget(self) -> WaitBudget:
         request, route = self._request, self._route
-        waited_s = self._loop.time() - request.arrived_s
-        return wait_budget_of(route, request.wait_ms, waited_s)
+        waited_s = self._loop.time() - request.arrived_at_s
+        return wait_budget(route, request.wait_ms, waited_s)
 
-    def _estimate(self, why: NoChoice) -> WaitEstimate:
-        """When a replica may take the request."""
+    def _estimate(self, reason: NoReplicaReason) -> WaitEstimate:
+        """Estimate when a replica may take the request."""
         request, now_s = self._request, self._loop.time()
-        records = self._context.book.of_service(self._log.service)
-        waited_s = now_s - request.arrived_s
+        records = self._context.registry.of_service(self._log.service)
+        waited_s = now_s - request.arrived_at_s
         return estimate_wait(
-            why,
+            reason,
             request,
             records=records,
             weights=self._weights(),
@@ -169,29 +170,31 @@
         )
 
     def _closed_detail(self) -> str:
-        """Name the replica that opens first, of those that could run the request, and why."""
+        """Describe the closed replica that could run the request and opens first."""
         record = self._first_to_open()
         if record is None:
             return ""
-        what = "asked for rest"
-        if self._is_limited(NoChoice.ALL_CLOSED):
-            what = "has had all that its limit allows"
-        left_s = record.availability.opens_for_s(self._is_urgent) - self._loop.time()
+        cause = "asked for rest"
+        if self._is_limited(NoReplicaReason.ALL_CLOSED):
+            cause = "has had all that its limit allows"
+        remaining_s = record.availability.opens_at_s(self._is_urgent) - self._loop.time()
         instance_id = record.instance.instance_id
-        return f"every replica that could run it {what}: {instance_id} for {left_s:.2f} s more"
+        return (
+            f"every replica that could run it {cause}: {instance_id} for {remaining_s:.2f} s more"
+        )
 
     def _weights(self) -> ModelWeights | None:
-        """The model that the request needs, if the routes know it."""
+        """Return the model that the request needs, or None if the routes don't define it."""
         table = self._context.table
         service = None if table is None else table.services.get(self._log.service)
         if service is None or service.engine is None:
             return None
         return service.engine.model(self._request.model)
 
-    def _answer_s(self) -> float:
-        """Time from sending the request to its first event at an idle engine."""
+    def _response_s(self) -> float:
+        """Return the time from sending the request to its first event at an idle engine."""
         request = self._request
         if not request.model:
             return 0.0
-        pace = self._context.book.pace(self._log.service)
-        return pace.quickest_ms(request.model, request.prompt_tokens) / 1000.0
+        latency_model = self._context.registry.latency_model(self._log.service)
+        return latency_model.idle_first_event_ms(request.model, request.prompt_tokens) / 1000.0
--- a/src/crowsill/pipeline/dispatch.py
+++ b/src/crowsill/pipeline/dispatch.py
@@ -75,7 +75,7 @@
     async def _send(
         self, request: ClassifiedRequest, slot: Slot
     ) -> Result[DispatchedAnswer, CallFailure]:
-        timeout_s = max(0.001, request.deadline_s - monotonic_s())
+        timeout_s = max(0.001, request.deadline_at_s - monotonic_s())
         replica = slot.selection.replica.description
         try:
             sent = await self._calls.send(replica, request, timeout_s)
@@ -93,7 +93,7 @@
         if failure.rest_s > 0.0:
             # Before the slot is given back: what waits would take it into the rest.
             rest_until_s = monotonic_s() + failure.rest_s
-            self._admission.selector.note_rest(slot.selection.replica, rest_until_s)
+            self._admission.selector.note_backoff(slot.selection.replica, rest_until_s)
         self._admission.release(slot, succeeded=failure.reason in _HEALTHY_REFUSALS)
         return Failure(failure)
 
@@ -108,17 +108,17 @@
         replica_id = state.description.replica_id
         candidates = self._admission.candidates
         if failure.reason is RefusalReason.NOT_HERE:
-            candidates.note_not_here(replica_id, request.resource, monotonic_s())
+            candidates.note_not_resident(replica_id, request.resource, monotonic_s())
             return excluded
         if failure.reason is RefusalReason.LEAVING:
-            candidates.note_leaving(state)
+            candidates.note_draining(state)
             return excluded
         others = self._admission.replicas_for(request, excluded | {replica_id})
         # With no other replica left, the same one may be tried again.
         return excluded | {replica_id} if others else frozenset()
 
     def _may_retry(self, request: ClassifiedRequest, failure: CallFailure, attempt: int) -> bool:
-        if attempt == MAX_ATTEMPTS or monotonic_s() >= request.deadline_s:
+        if attempt == MAX_ATTEMPTS or monotonic_s() >= request.deadline_at_s:
             return False
         if request.unsafe and failure.outcome is not Outcome.NOT_RUN:
             return False
@@ -136,7 +136,7 @@
         replica=selection.replica.description.replica_id,
         reason=selection.reason,
         candidates=selection.candidates,
-        waited_ms=round((slot.started_s - request.arrived_s) * 1000, 1),
+        waited_ms=round((slot.started_s - request.arrived_at_s) * 1000, 1),
         attempt=attempt,
     )
 
--- a/src/crowsill/state/machine.py
+++ b/src/crowsill/state/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: applies committed commands in order, on every member alike."""
+"""The replicated state machine, which applies committed commands in order on every member."""
 
 import hashlib
 
@@ -16,19 +16,19 @@
     ClearSuspects,
     Command,
     CommandResult,
-    CrashNote,
+    CrashCommand,
     DirectoryCommand,
     DrainInstance,
-    LeaderNote,
+    LeaderRecord,
     OfferModels,
     OpenClaim,
     OrderPlaced,
     PlaceOrder,
     PublishRoutes,
-    RecordBeat,
     RecordControlAddress,
     RecordCrash,
-    RecordLacked,
+    RecordHeartbeat,
+    RecordMissingModels,
     RecordQuotaUse,
     Registration,
     RemoveInstance,
@@ -38,7 +38,7 @@
 from crowsill.state.control_addresses import ControlAddresses
 from crowsill.state.crash_record import CrashRecord, CrashRecordSnapshot
 from crowsill.state.directory import Directory, DirectoryChange, DirectorySnapshot
-from crowsill.state.lacked_models import LackedModels
+from crowsill.state.missing_models import MissingModels
 from crowsill.state.orders import Order, OrderTable
 from crowsill.state.quota_use import QuotaUse
 from crowsill.state.route_store import RouteDocument, RouteStore
@@ -55,24 +55,24 @@
     routes: RouteDocument = RouteDocument()
     directory: DirectorySnapshot = DirectorySnapshot()
     control_addresses: list[str] = []
-    lacked: dict[str, float] = {}
+    missing_models: dict[str, float] = msgspec.field(default_factory=dict, name="lacked")
     quota_use: dict[str, list[float]] = {}
     crashes: CrashRecordSnapshot = CrashRecordSnapshot()
 
 
 class StateMachine:
-    """Configuration, claims and orders.
+    """The replicated state of the group.
 
     Attributes:
-        configuration: Configuration and its history.
+        configuration: Configuration with its history.
         claims: Claims of unsafe requests.
         orders: Unsettled orders to engines.
-        routes: The route configuration in force.
-        directory: Replicas that registered themselves.
-        control_addresses: Control processes that belonged to the group or asked for it.
-        lacked: Requests that models have lacked.
-        quota_use: What tenants may have been granted lately.
-        crashes: Requests under which replicas ended.
+        routes: The route configuration in effect.
+        directory: Self-registered replicas.
+        control_addresses: Addresses of control processes that were members or asked to join.
+        missing_models: Number of requests for models that no engine had loaded.
+        quota_use: Units that tenants were recently granted.
+        crashes: Requests that were running when replicas crashed.
     """
 
     def __init__(self, claim_retention_s: float = CLAIM_RETENTION_S) -> None:
@@ -82,7 +82,7 @@
         self.routes = RouteStore()
         self.directory = Directory()
         self.control_addresses = ControlAddresses()
-        self.lacked = LackedModels()
+        self.missing_models = MissingModels()
         self.quota_use = QuotaUse()
         self.crashes = CrashRecord()
 
@@ -103,55 +103,60 @@
                 return Acknowledged(self.orders.settle(command.order_id))
 
     def _apply_settlement(self, command: SettleClaim | AbandonHolders) -> bool:
-        """Apply the end of claims; return whether it had any effect."""
+        """Apply the outcome of claims; return whether it had any effect."""
         if isinstance(command, SettleClaim):
             return self.claims.settle(command)
         return self.claims.abandon(set(command.holders)) > 0
 
     def _apply_registration(self, command: Registration) -> bool:
-        """Apply what was registered or noted; return whether it changed anything."""
+        """Apply a registration or a record; return whether it changed anything."""
         match command:
             case PublishRoutes():
                 return self.routes.submit(command.document)
-            case RecordBeat() | DrainInstance() | RemoveInstance() | OfferModels():
+            case RecordHeartbeat() | DrainInstance() | RemoveInstance() | OfferModels():
                 return self._change_directory(command) is not None
             case RecordCrash() | ClearSuspects():
                 return self._apply_crash(command)
             case _:
-                return self._apply_note(command)
+                return self._apply_leader_record(command)
 
     def _change_directory(self, command: DirectoryCommand) -> DirectoryChange | None:
-        """Apply what is known of a replica; return what changed, or None."""
+        """Apply a command about a replica; return the change, or None."""
         match command:
-            case RecordBeat():
-                return self.directory.record(command.beat)
+            case RecordHeartbeat():
+                return self.directory.record(command.heartbeat)
             case DrainInstance():
                 return self.directory.drain(command.instance_id)
             case RemoveInstance():
                 return self.directory.remove(command.instance_id)
             case OfferModels():
-                return self.directory.offer(command.instance_id, command.models, command.coming)
-
-    def _apply_crash(self, note: CrashNote) -> bool:
-        """Apply what was seen of requests under which replicas ended; return whether it is new."""
-        if isinstance(note, ClearSuspects):
-            for fingerprint, ago_s in zip(note.fingerprints, note.whole_ago_s, strict=False):
-                self.crashes.note_whole(fingerprint, note.at_s - ago_s)
-            return self.crashes.clear(note.fingerprints) is not None
-        return self.crashes.record(note.life, note.requests, note.at_s - note.ago_s) is not None
-
-    def _apply_note(self, note: LeaderNote) -> bool:
-        """Apply what a leader noted for its successors; return whether it changed anything."""
-        match note:
+                return self.directory.offer(command.instance_id, command.models, command.loading)
+
+    def _apply_crash(self, command: CrashCommand) -> bool:
+        """Apply a command about suspect requests; return whether it changed anything."""
+        if isinstance(command, ClearSuspects):
+            for fingerprint, ago_s in zip(
+                command.fingerprints, command.completed_ago_s, strict=False
+            ):
+                self.crashes.note_completion(fingerprint, command.at_s - ago_s)
+            return self.crashes.clear(command.fingerprints) is not None
+        return (
+            self.crashes.record(command.instance_id, command.requests, command.at_s - command.ago_s)
+            is not None
+        )
+
+    def _apply_leader_record(self, command: LeaderRecord) -> bool:
+        """Apply what a leader recorded for its successors; return whether it changed anything."""
+        match command:
             case RecordControlAddress():
-                return self.control_addresses.record(note.address)
-            case RecordLacked():
-                return self.lacked.record(note.requests)
+                return self.control_addresses.record(command.address)
+            case RecordMissingModels():
+                return self.missing_models.record(command.requests)
             case RecordQuotaUse():
-                return self.quota_use.record(note.units)
+                return self.quota_use.record(command.units)
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Encode the full state."""
         return msgspec.msgpack.encode(
             _MachineSnapshot(
                 configuration=self.configuration.current,
@@ -164,14 +169,14 @@
                 routes=self.routes.current,
                 directory=self.directory.dump(),
                 control_addresses=self.control_addresses.addresses,
-                lacked=self.lacked.requests,
+                missing_models=self.missing_models.requests,
                 quota_use=self.quota_use.units,
                 crashes=self.crashes.dump(),
             )
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by an encoded one."""
+        """Replace the full state by an encoded one."""
         snapshot = msgspec.msgpack.decode(data, type=_MachineSnapshot)
         self.configuration.load(snapshot.configuration, snapshot.history)
         self.claims.load(snapshot.claims, snapshot.old_claims)
@@ -179,10 +184,10 @@
         self.routes.load(snapshot.routes)
         self.directory.load(snapshot.directory)
         self.control_addresses.load(snapshot.control_addresses)
-        self.lacked.record(snapshot.lacked)
+        self.missing_models.record(snapshot.missing_models)
         self.quota_use.load(snapshot.quota_use)
         self.crashes.load(snapshot.crashes)
 
     def digest(self) -> str:
-        """A hash of the state; equal on all members that applied the same entries."""
+        """Return a hash of the state, equal on all members that applied the same entries."""
         return hashlib.sha256(self.snapshot()).hexdigest()[:16]
--- a/tests/patterns/engine_site.py
+++ b/tests/patterns/engine_site.py
@@ -14,11 +14,11 @@
 from crowsill.control.replica_limits import ReplicaLimits
 from crowsill.gateway.follower import HEARTBEAT_S
 from crowsill.gateway.progress import PendingPrompt
-from crowsill.gateway.replica_book import ReplicaBook, ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice, SelectionLimits, choose
-from crowsill.model.instances import HeldModel, Instance
-from crowsill.routing.engine_pace import EnginePace
+from crowsill.gateway.selection import NoReplicaReason, SelectionLimits, choose
+from crowsill.model.instances import Instance, LoadedModel
+from crowsill.routing.engine_latency import LatencyModel
 from crowsill.state.directory import DirectoryChange
 
 SERVICE = "engines"
@@ -106,7 +106,7 @@
 
 def _instance(number, models):
     """Return the engine of a number."""
-    held = [HeldModel(model) for model in models]
+    held = [LoadedModel(model) for model in models]
     zone = f"z{number % ZONES}"
     return Instance(f"i-{number}", SERVICE, f"127.0.0.1:{number + 1}", zone, SLOTS, models=held)
 
@@ -117,10 +117,10 @@
     def __init__(self, number, instances, random):
         self.zone = f"z{number % ZONES}"
         self.random = random
-        self.pace = EnginePace()
+        self.latency_model = LatencyModel()
         self.name = f"g-{number}"
-        self.book = ReplicaBook()
-        self.book.adopt(DirectoryChange(1, instances, []), True, 0.0)
+        self.registry = ReplicaRegistry()
+        self.registry.adopt(DirectoryChange(1, instances, []), True, 0.0)
         self.idle = dict.fromkeys([item.instance_id for item in instances], 0)
 
     def choose(self, request, now_s):
@@ -128,12 +128,12 @@
         limits = SelectionLimits(
             self.zone,
             SLOTS,
-            longest_ms=LONGEST_EVENT_MS,
+            max_expected_ms=LONGEST_EVENT_MS,
             has_idle=lambda instance_id: self.idle[instance_id] > 0,
-            pace=self.pace,
+            latency_model=self.latency_model,
             random=self.random,
         )
-        return choose(self.book.of_service(SERVICE), request, set(), limits, now_s)
+        return choose(self.registry.of_service(SERVICE), request, set(), limits, now_s)
 
 
 @dataclass
@@ -236,13 +236,13 @@
 
     def _beat(self, now_s, gateway):
         """Have a gateway tell what it has at engines, and hear what all have."""
-        own = gateway.book.in_use()
+        own = gateway.registry.in_use()
         self.use.note(gateway.name, own, now_s)
         if now_s >= self._summed_s + REPORT_INTERVAL_S:
             self._summed_s, self._total = now_s, self.use.sum(now_s)
-        gateway.book.note_use_of_all(self._total, own, now_s)
-        self.limits.note(gateway.book.limits(now_s), now_s)
-        gateway.book.note_limits(self.limits.told(now_s), now_s)
+        gateway.registry.note_total_use(self._total, own, now_s)
+        self.limits.note(gateway.registry.limit_reports(now_s), now_s)
+        gateway.registry.note_limit_reports(self.limits.to_reports(now_s), now_s)
         self._at(now_s + HEARTBEAT_S * self.random.uniform(0.95, 1.05), self._beat, gateway)
 
     def join(self, at_s, held):
@@ -258,8 +258,8 @@
             self.is_working.append(False)
             self.outcome.by_engine[len(self.outcome.by_engine)] = 0
         for gateway in self.gateways:
-            change = DirectoryChange(gateway.book.version + 1, joined, [])
-            gateway.book.adopt(change, False, now_s)
+            change = DirectoryChange(gateway.registry.version + 1, joined, [])
+            gateway.registry.adopt(change, False, now_s)
             gateway.idle.update(dict.fromkeys([item.instance_id for item in joined], 0))
 
     def _arrive(self, now_s):
@@ -273,9 +273,11 @@
             b"POST", b"/", [], b"", True, now_s, model=model, prompt_tokens=prompt_tokens
         )
         choice = gateway.choose(request, now_s)
-        while not isinstance(choice, NoChoice) and not self._is_granted(choice.record, now_s):
+        while not isinstance(choice, NoReplicaReason) and not self._is_granted(
+            choice.record, now_s
+        ):
             choice = gateway.choose(request, now_s)
-        if isinstance(choice, NoChoice):
+        if isinstance(choice, NoReplicaReason):
             outcome.refused += 1
             return
         number = self._count(gateway, choice.record)
@@ -298,10 +300,10 @@
     def _is_granted(self, record, now_s):
         """Whether a request may be sent to an engine; if not, that is closed for a while."""
         availability = record.availability
-        if not availability.limit.binds(now_s):
+        if not availability.limit.is_in_effect(now_s):
             return True
         instance_id = record.instance.instance_id
-        self.limits.note([availability.limit.told(instance_id, now_s)], now_s)
+        self.limits.note([availability.limit.to_report(instance_id, now_s)], now_s)
         decision = self.limits.grant(instance_id, now_s)
         if not decision.is_granted:
             availability.close_for_limit(now_s + decision.wait_s)
@@ -314,7 +316,7 @@
         if per_s is not None:
             availability.note_limit(per_s, now_s)
         else:
-            availability.limit.note_unnamed(stream.sent_s)
+            availability.limit.note_not_advertised(stream.sent_s)
 
     def _count(self, gateway, record):
         """Count a request that is sent; return the number of its engine."""
@@ -357,12 +359,12 @@
                 self._end(now_s, stream, stream.unmade <= 0)
         for stream in first:
             stream.first_s = stream.last_s = now_s
-            stream.prompt.read()
+            stream.prompt.stop_counting()
             self._hear(stream, number, now_s)
             running.append(stream)
         for stream in [item for item in self.waiting[number] if now_s > item.deadline_s]:
             self.waiting[number].remove(stream)
-            stream.prompt.read()
+            stream.prompt.stop_counting()
             self._end(now_s, stream, False)
         self._step(now_s, number)
 
@@ -376,9 +378,13 @@
         record.note_success()
         request = stream.request
         first_s = stream.first_s - stream.sent_s
-        quickest_s = gateway.pace.quickest_ms(request.model, request.prompt_tokens) / 1000.0
-        record.note_time(first_s, quickest_s, now_s)
-        gateway.pace.learn(request.model, request.prompt_tokens, first_s * 1000.0)
+        quickest_s = (
+            gateway.latency_model.idle_first_event_ms(request.model, request.prompt_tokens) / 1000.0
+        )
+        record.note_response_time(first_s, quickest_s, now_s)
+        gateway.latency_model.observe_first_event(
+            request.model, request.prompt_tokens, first_s * 1000.0
+        )
         is_in_time = first_s <= FIRST_EVENT_S and stream.longest_gap_s <= PAUSE_S
         self.outcome.in_time += is_in_time
 
--- a/tests/patterns/test_model_that_is_on_its_way.py
+++ b/tests/patterns/test_model_that_is_on_its_way.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from crowsill.gateway.holding import return_s, wait_budget_of, waits
-from crowsill.gateway.replica_book import ReplicaRecord
+from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
-from crowsill.gateway.selection import NoChoice
+from crowsill.gateway.selection import NoReplicaReason
+from crowsill.gateway.wait_decision import retry_delay_s, should_wait, wait_budget
 from crowsill.gateway.wait_estimates import estimate_wait
-from crowsill.model.instances import ComingModel, HeldModel, Instance
+from crowsill.model.instances import Instance, LoadedModel, LoadingModel
 from crowsill.model.routes import ModelWeights, Route, RouteKind, WeightedService
 
 LOAD_S = 8.0
@@ -38,26 +38,26 @@
         "127.0.0.1:1",
         "z",
         8,
-        models=[HeldModel("n")],
-        coming=[ComingModel("m", LOAD_S)],
+        models=[LoadedModel("n")],
+        loading=[LoadingModel("m", LOAD_S)],
     )
     record = ReplicaRecord(instance)
-    record.note_coming(0.0)
+    record.note_loading_models(0.0)
     request = CallerRequest(b"POST", b"/", [], b"", True, arrived_s, model="m")
     now_s = arrived_s
     while now_s < LOAD_S:
         waited_s = now_s - arrived_s
         estimate = estimate_wait(
-            NoChoice.NO_MODEL,
+            NoReplicaReason.NO_MODEL,
             request,
             records=[record],
             weights=MODEL,
             waited_s=waited_s,
             now_s=now_s,
         )
-        budget = wait_budget_of(route, route.timeout_ms, waited_s)
-        if not waits(estimate, budget, ANSWER_S):
-            back_s = return_s(estimate, budget, rank=1, spread=Random(seed).random())
+        budget = wait_budget(route, route.timeout_ms, waited_s)
+        if not should_wait(estimate, budget, ANSWER_S):
+            back_s = retry_delay_s(estimate, budget, rank=1, spread=Random(seed).random())
             return "refused", now_s, now_s + back_s
         now_s += STEP_S
     return "served", now_s, now_s
--- a/tests/test_gateway_http.py
+++ b/tests/test_gateway_http.py
@@ -1,4 +1,4 @@
-"""The gateway against replicas and callers that do everything wrong that may be met."""
+"""The gateway with replicas and callers that violate HTTP or the protocol, or fail."""
 
 import asyncio
 import socket
@@ -9,25 +9,25 @@
 from tests.gateway_world import (
     ID,
     STAMP,
-    answer,
-    closes,
-    good,
-    not_run,
+    close_connection,
+    encode_response,
+    never_respond,
+    reject_not_run,
+    respond_ok,
     routes,
     run,
-    silent,
     world,
 )
 
-UNREAD_S = 0.05
+SETTLE_S = 0.05
 
 
-def test_a_request_is_passed_on_unchanged_but_for_its_connection():
+def test_a_request_is_forwarded_unchanged_except_for_connection_headers():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             caller = await here.caller()
             more = ["X-Mine: a", "Connection: x-hop", "X-Hop: b", "crowsill-deadline-ms: 900"]
-            status, headers, body = await caller.ask("once", "r7", b"pay", headers=more)
+            status, headers, body = await caller.request("once", "r7", b"pay", headers=more)
             assert (status, body, headers[ID], headers[STAMP]) == (200, b"fine", "r7", "s1")
             head, sent, got = here._replicas[0].requests[0]
             assert head.startswith("POST /once/x?q=1 HTTP/1.1\r\n") and got == b"pay"
@@ -38,27 +38,27 @@
     run(scenario())
 
 
-def test_a_connection_to_a_replica_is_used_again_and_again():
+def test_a_connection_to_a_replica_is_reused():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             caller = await here.caller()
             for number in range(5):
-                status, _, _ = await caller.ask("once", f"r{number}")
+                status, _, _ = await caller.request("once", f"r{number}")
                 assert status == 200
-            # Found on a measured day: a flag of the parser was never cleared, so that every
-            # connection was thrown away after its second use.
+            # A parser flag that is never cleared would discard each connection after its second
+            # use.
             assert here._replicas[0].connections == 1
 
     run(scenario())
 
 
-def test_a_body_in_chunks_arrives_whole():
+def test_a_chunked_body_arrives_complete():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             caller = await here.caller()
             head = f"POST /once/x HTTP/1.1\r\nHost: h.example\r\n{ID}: r1\r\n"
             caller.writer.write(head.encode() + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-            await asyncio.sleep(UNREAD_S)
+            await asyncio.sleep(SETTLE_S)
             caller.writer.write(b"2\r\nde\r\n0\r\n\r\n")
             status, _ = await caller.head()
             assert status == 200 and here._replicas[0].requests[0][2] == b"abcde"
@@ -66,101 +66,101 @@
     run(scenario())
 
 
-def test_only_what_was_not_run_goes_to_another_replica():
+def test_only_a_request_that_was_not_run_goes_to_another_replica():
     async def scenario():
-        async with world(not_run, good) as here:
+        async with world(reject_not_run, respond_ok) as here:
             for number in range(4):
                 caller = await here.caller()
-                status, _, _ = await caller.ask("once", f"r{number}")
+                status, _, _ = await caller.request("once", f"r{number}")
                 assert status == 200
             assert len(here._replicas[1].requests) == 4
 
     run(scenario())
 
 
-def test_a_request_that_may_have_run_is_not_sent_again():
+def test_a_request_that_may_have_run_is_not_retried():
     async def scenario():
-        async with world(closes, closes) as here:
-            status, headers, _ = await (await here.caller()).ask("once")
+        async with world(close_connection, close_connection) as here:
+            status, headers, _ = await (await here.caller()).request("once")
             assert status == 502 and STAMP not in headers and "retry-after" not in headers
             assert sum(len(replica.requests) for replica in here._replicas) == 1
 
     run(scenario())
 
 
-def test_a_repeatable_request_is_sent_again_as_often_as_its_route_allows():
+def test_a_repeatable_request_is_retried_as_often_as_its_route_allows():
     async def scenario():
-        async with world(closes, closes, closes) as here:
-            status, _, _ = await (await here.caller()).ask("safe")
+        async with world(close_connection, close_connection, close_connection) as here:
+            status, _, _ = await (await here.caller()).request("safe")
             assert status == 502
             assert sum(len(replica.requests) for replica in here._replicas) == 2
-        async with world(closes, good) as here:
+        async with world(close_connection, respond_ok) as here:
             for number in range(4):
-                status, _, _ = await (await here.caller()).ask("safe", f"r{number}")
+                status, _, _ = await (await here.caller()).request("safe", f"r{number}")
                 assert status == 200
 
     run(scenario())
 
 
-def test_when_nobody_ran_it_the_caller_is_told_when_to_come_back():
+def test_a_request_that_no_replica_ran_is_rejected_with_retry_after():
     async def scenario():
-        async with world(not_run, not_run) as here:
-            status, headers, _ = await (await here.caller()).ask("once")
+        async with world(reject_not_run, reject_not_run) as here:
+            status, headers, _ = await (await here.caller()).request("once")
             assert status == 503 and float(headers["retry-after"]) > 0
 
     run(scenario())
 
 
 async def extra_bytes(headers, writer, _number):
-    writer.write(answer(headers[ID]) + answer("other", b"evil"))
+    writer.write(encode_response(headers[ID]) + encode_response("other", b"evil"))
     return True
 
 
 async def extra_later(headers, writer, _number):
-    writer.write(answer(headers[ID]))
+    writer.write(encode_response(headers[ID]))
     await asyncio.sleep(0.02)
-    writer.write(answer("other", b"evil"))
+    writer.write(encode_response("other", b"evil"))
     return True
 
 
 @pytest.mark.parametrize("script", [extra_bytes, extra_later])
-def test_bytes_after_a_whole_answer_belong_to_no_request(script):
+def test_bytes_after_a_complete_response_are_discarded(script):
     async def scenario():
         async with world(script) as here:
             for number in range(4):
-                status, _, body = await (await here.caller()).ask("once", f"r{number}")
+                status, _, body = await (await here.caller()).request("once", f"r{number}")
                 assert (status, body) == (200, b"fine")
-                await asyncio.sleep(UNREAD_S)
+                await asyncio.sleep(SETTLE_S)
 
     run(scenario())
 
 
-async def late_answer_first(headers, writer, number):
+async def late_response_first(headers, writer, number):
     if number > 1:
-        writer.write(answer("r0", b"late"))
-    writer.write(answer(headers[ID]))
+        writer.write(encode_response("r0", b"late"))
+    writer.write(encode_response(headers[ID]))
     return True
 
 
-def test_an_answer_to_an_earlier_request_is_passed_over():
+def test_a_response_to_an_earlier_request_is_skipped():
     async def scenario():
-        async with world(late_answer_first) as here:
+        async with world(late_response_first) as here:
             caller = await here.caller()
             for number in range(3):
-                status, _, body = await caller.ask("once", f"r{number + 1}")
+                status, _, body = await caller.request("once", f"r{number + 1}")
                 assert (status, body) == (200, b"fine")
 
     run(scenario())
 
 
 async def unframed(headers, writer, _number):
-    writer.write(answer(headers[ID], length=False))
+    writer.write(encode_response(headers[ID], length=False))
     return False
 
 
 async def unframed_reset(headers, writer, _number):
-    writer.write(answer(headers[ID], length=False))
-    await asyncio.sleep(UNREAD_S)
+    writer.write(encode_response(headers[ID], length=False))
+    await asyncio.sleep(SETTLE_S)
     # Closing with linger time 0 resets the connection.
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -168,17 +168,17 @@
 
 
 async def cut_short(headers, writer, _number):
-    writer.write(answer(headers[ID], b"0123456789")[:-3])
+    writer.write(encode_response(headers[ID], b"0123456789")[:-3])
     return False
 
 
 async def encoded(headers, writer, _number):
-    writer.write(answer(headers[ID], extra="Content-Encoding: gzip"))
+    writer.write(encode_response(headers[ID], extra="Content-Encoding: gzip"))
     return True
 
 
 async def unstamped(headers, writer, _number):
-    writer.write(answer(headers[ID]).replace(STAMP.encode(), b"x-other"))
+    writer.write(encode_response(headers[ID]).replace(STAMP.encode(), b"x-other"))
     return True
 
 
@@ -187,42 +187,42 @@
     return True
 
 
-async def unproved_promise(headers, writer, _number):
-    writer.write(answer(headers[ID], b"", "503 Busy"))
+async def unverified_rejection(headers, writer, _number):
+    writer.write(encode_response(headers[ID], b"", "503 Busy"))
     return True
 
 
-def test_an_answer_without_length_is_whole_when_its_connection_ends_cleanly():
+def test_a_response_without_length_is_complete_when_its_connection_closes_cleanly():
     async def scenario():
         async with world(unframed) as here:
-            status, headers, body = await (await here.caller()).ask("once")
+            status, headers, body = await (await here.caller()).request("once")
             assert (status, body, headers["content-length"]) == (200, b"fine", "4")
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    "script", [unframed_reset, cut_short, encoded, unstamped, not_http, unproved_promise]
+    "script", [unframed_reset, cut_short, encoded, unstamped, not_http, unverified_rejection]
 )
-def test_what_is_not_the_replicas_whole_answer_is_never_passed_on(script):
+def test_an_incomplete_or_unverified_response_is_never_relayed(script):
     async def scenario():
         async with world(script) as here:
-            status, headers, _ = await (await here.caller()).ask("once")
-            # It ran or may have run: no promise, no signature.
+            status, headers, _ = await (await here.caller()).request("once")
+            # The request ran or may have run: no `Retry-After`, no stamp of the replica.
             assert status == 502 and STAMP not in headers
 
     run(scenario())
 
 
-async def own_failure(headers, writer, _number):
-    writer.write(answer(headers[ID], b"oops", "500 Failed"))
+async def error_response(headers, writer, _number):
+    writer.write(encode_response(headers[ID], b"oops", "500 Failed"))
     return True
 
 
-def test_a_replicas_own_failure_is_passed_on_with_its_signature():
+def test_an_error_response_of_a_replica_is_relayed_with_its_stamp():
     async def scenario():
-        async with world(own_failure) as here:
-            status, headers, body = await (await here.caller()).ask("once")
+        async with world(error_response) as here:
+            status, headers, body = await (await here.caller()).request("once")
             assert (status, headers[STAMP], body) == (500, "s1", b"oops")
 
     run(scenario())
@@ -244,23 +244,23 @@
     return script
 
 
-def test_events_are_passed_on_as_they_come():
+def test_events_are_relayed_as_they_arrive():
     async def scenario():
         async with world(streaming(3, pause_s=0.3)) as here:
             caller = await here.caller()
             loop = asyncio.get_running_loop()
-            started_s = loop.time()
+            started_at_s = loop.time()
             caller.send("stream")
             await caller.head()
             await caller.reader.readuntil(b"id: 0")
-            assert loop.time() - started_s < 0.25
+            assert loop.time() - started_at_s < 0.25
             rest = await caller.reader.readuntil(b"0\r\n\r\n")
             assert b"id: 2" in rest
 
     run(scenario())
 
 
-def test_a_stream_that_breaks_off_is_seen_to_break_off():
+def test_a_stream_that_breaks_off_breaks_off_for_the_caller():
     async def scenario():
         async with world(streaming(2, ends=False, pause_s=0.02)) as here:
             caller = await here.caller()
@@ -271,16 +271,16 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("script", [silent, streaming(1000, pause_s=0.02)])
-def test_a_caller_that_leaves_frees_its_replica_at_once(script):
+@pytest.mark.parametrize("script", [never_respond, streaming(1000, pause_s=0.02)])
+def test_a_caller_that_disconnects_frees_its_replica_at_once(script):
     async def scenario():
         async with world(script) as here:
             caller = await here.caller()
             caller.send("stream")
             while not here._replicas[0].requests:
                 await asyncio.sleep(0.01)
-            await asyncio.sleep(UNREAD_S)
-            caller.leave()
+            await asyncio.sleep(SETTLE_S)
+            caller.disconnect()
             async with asyncio.timeout(0.5):
                 while here.role.pool.in_use("i-1"):
                     await asyncio.sleep(0.01)
@@ -288,25 +288,25 @@
     run(scenario())
 
 
-def test_the_routes_time_out_is_kept_and_promises_nothing():
+def test_the_timeout_of_the_route_is_enforced_without_retry_after():
     async def scenario():
-        async with world(silent) as here:
+        async with world(never_respond) as here:
             loop = asyncio.get_running_loop()
-            started_s = loop.time()
-            status, headers, _ = await (await here.caller()).ask("short")
+            started_at_s = loop.time()
+            status, headers, _ = await (await here.caller()).request("short")
             assert status == 504 and "retry-after" not in headers
-            assert 0.2 < loop.time() - started_s < 0.45
+            assert 0.2 < loop.time() - started_at_s < 0.45
 
     run(scenario())
 
 
-def test_unknown_routes_and_callers_that_ask_too_much():
+def test_unknown_routes_and_invalid_or_oversized_requests():
     async def scenario():
-        async with world(good, configuration=routes(max_body_bytes=10)) as here:
-            assert (await (await here.caller()).ask("nowhere"))[0] == 404
-            assert (await (await here.caller()).ask("once", body=b"x" * 11))[0] == 413
+        async with world(respond_ok, configuration=routes(max_body_bytes=10)) as here:
+            assert (await (await here.caller()).request("nowhere"))[0] == 404
+            assert (await (await here.caller()).request("once", body=b"x" * 11))[0] == 413
             large = [f"X-Large: {'y' * 20000}"]
-            assert (await (await here.caller()).ask("once", headers=large))[0] == 431
+            assert (await (await here.caller()).request("once", headers=large))[0] == 431
             caller = await here.caller()
             caller.writer.write(b"nonsense\r\n\r\n")
             assert (await caller.head())[0] == 400
@@ -315,9 +315,9 @@
     run(scenario())
 
 
-def test_a_caller_too_slow_with_its_headers_is_told_so():
+def test_a_caller_that_sends_headers_too_slowly_gets_408():
     async def scenario():
-        async with world(good, configuration=routes(header_timeout_ms=150.0)) as here:
+        async with world(respond_ok, configuration=routes(header_timeout_ms=150.0)) as here:
             caller = await here.caller()
             caller.writer.write(b"GET /once/x HTTP/1.1\r\nHost:")
             assert (await caller.head())[0] == 408
@@ -325,15 +325,15 @@
     run(scenario())
 
 
-def test_a_repeat_that_reached_no_replica_costs_nothing_of_the_retry_budget():
+def test_a_retry_that_reached_no_replica_is_not_charged_to_the_retry_budget():
     async def scenario():
-        async with world(good, good) as here:
+        async with world(respond_ok, respond_ok) as here:
             first, second = here._replicas
 
             def fails_beside(other):
                 async def script(headers, writer, _number):
                     await other.stop()
-                    writer.write(answer(headers[ID], b"", "500 Failed"))
+                    writer.write(encode_response(headers[ID], b"", "500 Failed"))
                     return True
 
                 return script
@@ -341,7 +341,7 @@
             first.script, second.script = fails_beside(second), fails_beside(first)
             budget = here.role.budget("plain")
             before = budget.left(asyncio.get_running_loop().time(), 1)
-            await (await here.caller()).ask("safe")
+            await (await here.caller()).request("safe")
             assert len(first.requests) + len(second.requests) == 1
             assert budget.left(asyncio.get_running_loop().time(), 1) >= before
 
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -10,19 +10,19 @@
 from hypothesis import strategies as st
 
 from crowsill.control.replica_limits import ReplicaLimits
-from crowsill.gateway.dialect import HeaderNames
+from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.replica_grants import ReplicaGrants
 from crowsill.gateway.replica_signals import read_signals
-from crowsill.model.replica_limits import LimitWord
-from crowsill.routing.named_limit import RETURN_STEP_S, RETURN_STEPS, NamedLimit
+from crowsill.model.replica_limits import LimitReport
+from crowsill.routing.advertised_limit import RAMP_STEP_S, RAMP_STEPS, AdvertisedLimit
 from crowsill.tenancy.grant_ledger import GRANT_LIFETIME_S
 from crowsill.transport.messages import GrantReply
 from crowsill_lab.soak.limits import CONTACT_S, TOLD_S, WINDOW_S, allowed
 from crowsill_lab.windows import fullest_window
 from tests.gateway_world import ID as LOCAL_ID
-from tests.gateway_world import answer, good, run, world
+from tests.gateway_world import encode_response, respond_ok, run, world
 from tests.platform_site import ID, StandInReplica
-from tests.watched_site import PLAYED_S, begin, end, site_of_three
+from tests.watched_site import PLAYED_S, send_requests, site_of_three, start_replicas
 
 RUN_S = 0.1
 
@@ -56,11 +56,11 @@
         gateway = headers["x-from"]
         self.arrivals.append((time.monotonic(), gateway))
         await asyncio.sleep(RUN_S)
-        status, extra, answer = await super()._answer(first, headers, body)
+        status, extra, response_body = await super()._answer(first, headers, body)
         if self.per_s is not None:
             self.told_s.setdefault(gateway, time.monotonic())
             extra = [*extra, f"Server-Limit: {self.per_s:g}"]
-        return status, extra, answer
+        return status, extra, response_body
 
     def fullest_window(self):
         """Return the most requests in a window from gateways that had been told."""
@@ -93,8 +93,8 @@
 def test_a_limit_is_read_from_decimal_numbers_and_from_nothing_else(value, per_s):
     word = read_signals(200, [(b"Crowsill-Server-Limit", value)], HeaderNames(), 0.0)
     assert word.limit_per_s == per_s
-    assert word.names_limit
-    assert bool(word.unread) is (per_s is None)
+    assert word.has_limit_header
+    assert bool(word.unreadable) is (per_s is None)
 
 
 def test_of_two_limits_in_one_answer_the_lower_one_holds():
@@ -112,10 +112,10 @@
 @pytest.mark.parametrize(("kind", "attempts"), [("idempotent", 3), ("non_idempotent", 1)])
 def test_a_replica_gets_no_more_from_all_gateways_than_the_limit_it_names(tmp_path, kind, attempts):
     async def scenario(site, replicas):
-        await begin(site, kind, attempts, replicas)
+        await start_replicas(site, kind, attempts, replicas)
         for replica in replicas[:2]:
             replica.name(1.0)
-        return await end(site, replicas)
+        return await send_requests(site, replicas)
 
     with site_of_three(tmp_path) as site:
         replicas = [LimitedReplica(site, number, "till") for number in range(4)]
@@ -130,10 +130,10 @@
 
 def test_what_the_limits_of_all_replicas_leave_is_used_and_the_rest_is_refused_at_once(tmp_path):
     async def scenario(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.name(5.0)
-        return await end(site, replicas)
+        return await send_requests(site, replicas)
 
     with site_of_three(tmp_path) as site:
         replicas = [LimitedReplica(site, number, "till") for number in range(2)]
@@ -153,10 +153,10 @@
 
 def test_a_limit_that_is_over_is_learnt_and_its_replica_is_not_sent_all_at_once(tmp_path):
     async def scenario(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.name(2.0)
-        playing = asyncio.create_task(end(site, replicas))
+        playing = asyncio.create_task(send_requests(site, replicas))
         await asyncio.sleep(1.0)
         for replica in replicas:
             replica.name(None)
@@ -174,10 +174,10 @@
 
 def test_a_limit_holds_while_the_leader_is_lost_and_a_gateway_starts_again(tmp_path):
     async def scenario(site, replicas):
-        await begin(site, "idempotent", 3, replicas)
+        await start_replicas(site, "idempotent", 3, replicas)
         for replica in replicas:
             replica.name(2.0)
-        playing = asyncio.create_task(end(site, replicas))
+        playing = asyncio.create_task(send_requests(site, replicas))
         await asyncio.sleep(3.5)
         _leader(site).kill()
         await asyncio.sleep(1.0)
@@ -223,7 +223,7 @@
 
     async def script(headers, writer, number):
         extra = f"Crowsill-Server-Limit: {value}" if number <= times else ""
-        writer.write(answer(headers[LOCAL_ID], extra=extra))
+        writer.write(encode_response(headers[LOCAL_ID], extra=extra))
         return True
 
     return script
@@ -231,7 +231,7 @@
 
 def with_leader(here, *replies):
     leader = Leader(*replies)
-    here.role.replica_grants = ReplicaGrants(leader.ask, here.role._wake)
+    here.role.replica_grants = ReplicaGrants(leader.ask, here.role._notify_change)
     return leader
 
 
@@ -241,7 +241,7 @@
 def test_a_limit_is_passed_on_to_the_caller():
     async def scenario():
         async with world(limits("2.5")) as here:
-            _, found, _ = await (await here.caller()).ask("once")
+            _, found, _ = await (await here.caller()).request("once")
             assert found["crowsill-server-limit"] == "2.5"
 
     run(scenario())
@@ -249,10 +249,10 @@
 
 def test_without_a_leader_a_replica_with_a_limit_gets_nothing_and_another_one_is_used():
     async def scenario():
-        async with world(limits("2"), good) as here:
+        async with world(limits("2"), respond_ok) as here:
             with_leader(here)
             for _ in range(10):
-                assert (await (await here.caller()).ask("once"))[0] == 200
+                assert (await (await here.caller()).request("once"))[0] == 200
             # None of them was granted: it has had the request whose answer named the limit.
             assert len(here._replicas[0].requests) <= 1
 
@@ -263,10 +263,10 @@
     async def scenario():
         async with world(limits("2")) as here:
             leader = with_leader(here, GrantReply(False, 1.5, 0.0))
-            assert (await (await here.caller()).ask("once"))[0] == 200
+            assert (await (await here.caller()).request("once"))[0] == 200
             loop = asyncio.get_running_loop()
             asked_s = loop.time()
-            status, found, body = await (await here.caller()).ask("short")
+            status, found, body = await (await here.caller()).request("short")
             assert status == 503 and b"its limit allows: i-1" in body
             assert loop.time() - asked_s < 0.25
             assert 1.4 < float(found["retry-after"]) < 2.1
@@ -281,11 +281,11 @@
         async with world(limits("2")) as here:
             with_leader(here, GrantReply(True, 0.2, GRANT_LIFETIME_S), GrantReply(True, 0.0, -1.0))
             caller = await here.caller()
-            assert (await caller.ask("once", "r1"))[0] == 200
+            assert (await caller.request("once", "r1"))[0] == 200
             asked_s = asyncio.get_running_loop().time()
-            assert (await caller.ask("once", "r2"))[0] == 200
+            assert (await caller.request("once", "r2"))[0] == 200
             assert asyncio.get_running_loop().time() - asked_s >= 0.2
-            assert (await caller.ask("short", "r3"))[0] == 503
+            assert (await caller.request("short", "r3"))[0] == 503
             assert len(here._replicas[0].requests) == 2
 
     run(scenario())
@@ -296,25 +296,25 @@
         async with world(limits("2", times=1)) as here:
             with_leader(here, GRANTED)
             caller = await here.caller()
-            assert (await caller.ask("once", "r1"))[0] == 200
-            assert (await caller.ask("once", "r2"))[0] == 200
-            limit = here.role.book.find("i-1").availability.limit
-            assert not limit.holds
-            ended_s = limit.ended_s
-            assert limit.binds(ended_s + 1.0)
-            assert not limit.binds(ended_s + RETURN_STEPS * RETURN_STEP_S)
+            assert (await caller.request("once", "r1"))[0] == 200
+            assert (await caller.request("once", "r2"))[0] == 200
+            limit = here.role.registry.find("i-1").availability.limit
+            assert not limit.is_advertised
+            ended_s = limit.lifted_at_s
+            assert limit.is_in_effect(ended_s + 1.0)
+            assert not limit.is_in_effect(ended_s + RAMP_STEPS * RAMP_STEP_S)
 
     run(scenario())
 
 
 def test_what_others_heard_binds_a_gateway_that_has_heard_nothing():
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0))
-            here.role.book.note_limits(
-                [LimitWord("i-1", 1.0, 0.2)], asyncio.get_running_loop().time()
+            here.role.registry.note_limit_reports(
+                [LimitReport("i-1", 1.0, 0.2)], asyncio.get_running_loop().time()
             )
-            assert (await (await here.caller()).ask("short"))[0] == 503
+            assert (await (await here.caller()).request("short"))[0] == 503
             assert len(leader.asked) == 1 and not here._replicas[0].requests
 
     run(scenario())
@@ -336,11 +336,11 @@
 def test_what_is_known_of_a_limit_does_not_depend_on_who_tells_it_first(told, random):
     # A replica names one limit at a time.
     told = list({named: (per_s, named, ended) for per_s, named, ended in told}.values())
-    words = [LimitWord("i", per_s, float(named), ended) for per_s, named, ended in told]
+    words = [LimitReport("i", per_s, float(named), ended) for per_s, named, ended in told]
     shuffled = random.sample(words, len(words))
     known = []
     for order in (words, shuffled, shuffled + words):
-        limit = NamedLimit()
+        limit = AdvertisedLimit()
         for word in order:
             limit.merge(word, now_s=100.0)
         known.append(limit)
@@ -351,7 +351,7 @@
     """Return when requests arrive, by gateways that lag, and leaders that change."""
     random = Random(seed)
     limits, now_s, arrived_s = ReplicaLimits(), 100.0, []
-    word = LimitWord("i", per_s, 0.0)
+    word = LimitReport("i", per_s, 0.0)
     while now_s < 140.0:
         now_s += random.expovariate(per_s * random.choice([0.2, 3.0, 10.0]) + gateways * 0.2)
         if random.random() < 0.02:
@@ -377,7 +377,7 @@
 
 def test_those_who_are_refused_are_told_times_one_after_the_other():
     limits = ReplicaLimits()
-    limits.note([LimitWord("i", 2.0, 0.0)], 10.0)
+    limits.note([LimitReport("i", 2.0, 0.0)], 10.0)
     told_s = [limits.grant("i", 10.0).wait_s for _ in range(4)]
     assert told_s == [0.5, 1.0, 1.5, 2.0]
     # Those that can wait are told by a row of their own.
@@ -386,10 +386,10 @@
 
 def test_a_limit_that_was_named_anew_takes_the_return_back():
     limits = ReplicaLimits()
-    limits.note([LimitWord("i", 1.0, 0.0)], 10.0)
-    limits.note([LimitWord("i", 1.0, 2.0, 0.5)], 12.0)
+    limits.note([LimitReport("i", 1.0, 0.0)], 10.0)
+    limits.note([LimitReport("i", 1.0, 2.0, 0.5)], 12.0)
     assert limits.find("i").rate_per_s(13.0) == 4.0
-    limits.note([LimitWord("i", 1.0, 0.0)], 13.0)
+    limits.note([LimitReport("i", 1.0, 0.0)], 13.0)
     assert limits.find("i").rate_per_s(13.5) == 1.0
 
 
@@ -400,7 +400,7 @@
     while now_s < 130.0:
         now_s += random.expovariate(21.0)
         is_urgent = random.random() < 1.0 / 21.0
-        limits.note([LimitWord("i", 2.0, 0.0)], now_s)
+        limits.note([LimitReport("i", 2.0, 0.0)], now_s)
         asked[is_urgent] += 1
         granted[is_urgent] += limits.grant("i", now_s, is_urgent).is_granted
     # One a second cannot wait, twenty can; two a second are allowed.
@@ -412,15 +412,15 @@
     async def scenario():
         async with world(limits("2")) as here:
             leader = with_leader(here, GrantReply(False, 1.0, 0.0), GRANTED)
-            assert (await (await here.caller()).ask("once"))[0] == 200
-            availability = here.role.book.find("i-1").availability
+            assert (await (await here.caller()).request("once"))[0] == 200
+            availability = here.role.registry.find("i-1").availability
             waited = asyncio.create_task(
-                here.role.replica_grants.acquire(here.role.book.find("i-1"), is_urgent=False)
+                here.role.replica_grants.acquire(here.role.registry.find("i-1"), is_urgent=False)
             )
             assert await waited is None
             now_s = asyncio.get_running_loop().time()
-            assert availability.opens_s < now_s < availability.opens_for_s(is_urgent=False)
-            assert (await (await here.caller()).ask("short"))[0] == 200
+            assert availability.urgent_opens_at_s < now_s < availability.opens_at_s(is_urgent=False)
+            assert (await (await here.caller()).request("short"))[0] == 200
             assert len(leader.asked) == 2
 
     run(scenario())
--- a/tests/test_replica_overview.py
+++ b/tests/test_replica_overview.py
@@ -1,4 +1,4 @@
-"""What operators see of replicas that rest, leave, or cannot be reached."""
+"""Operators' view of replicas that are backing off, draining or unreachable."""
 
 import asyncio
 import hashlib
@@ -12,16 +12,16 @@
 from crowsill.api.operators import operator_application
 from crowsill.api.server import HttpServer
 from crowsill.cli.main import application
-from crowsill.control.operations import Operations
+from crowsill.control.operations import OperatorService
 from crowsill.control.replica_grants import ReplicaGrants
 from crowsill.control.replica_overview import RegisteredReplicaLine
-from crowsill.gateway.replica_book import ReplicaBook
-from crowsill.model.exclusions import MOST_TOLD
+from crowsill.gateway.replica_registry import ReplicaRegistry
+from crowsill.model.exclusions import MAX_REPORTED_EXCLUSIONS
 from crowsill.model.fleet import FleetView
-from crowsill.model.instances import Beat, HeldModel, Instance
-from crowsill.model.replica_limits import LimitWord
+from crowsill.model.instances import Instance, LoadedModel, ReplicaHeartbeat
+from crowsill.model.replica_limits import LimitReport
 from crowsill.settings import HttpListener, Settings
-from crowsill.state.commands import DrainInstance, RecordBeat
+from crowsill.state.commands import DrainInstance, RecordHeartbeat
 from crowsill.state.directory import DirectoryChange
 from crowsill.state.machine import StateMachine
 from crowsill.transport.messages import EntryStatus
@@ -34,41 +34,41 @@
 
 
 def gateway_view():
-    """What a gateway says that knows a resting, a leaving, an unreachable and a fine replica."""
-    book = ReplicaBook()
+    """Return a gateway's exclusions of replicas: backing off, draining and unreachable."""
+    registry = ReplicaRegistry()
     listed = [instance(number) for number in range(1, 5)]
-    book.adopt(DirectoryChange(1, listed, []), True, 0.0)
-    book.find("i-1").availability.note_rest(2.5, now_s=0.0)
-    book.find("i-2").note_leaving(0.0)
-    book.find("i-3").availability.note_unreachable()
-    return book.excluded(0.5)
+    registry.adopt(DirectoryChange(1, listed, []), True, 0.0)
+    registry.find("i-1").availability.note_backoff(2.5, now_s=0.0)
+    registry.find("i-2").note_draining(0.0)
+    registry.find("i-3").availability.note_unreachable()
+    return registry.excluded(0.5)
 
 
 class Member:
-    """A member that leads, or not, and has heard of one gateway."""
+    """A leader or follower that has received a report from one gateway."""
 
     def __init__(self, leads):
         self.driver = SimpleNamespace(is_leader=leads)
         entry = EntryStatus("g-1.abc", "g-1", "z", 0, gateway_view())
         entries = SimpleNamespace(live=lambda _now_s: [entry])
         grants = ReplicaGrants()
-        grants.note([LimitWord("i-3", 1.5, named_ago_s=0.2)])
+        grants.note([LimitReport("i-3", 1.5, advertised_ago_s=0.2)])
         self.reports = SimpleNamespace(live_entries=entries, replica_grants=grants)
 
 
 @pytest.fixture
 def settings(tmp_path):
-    """The settings file of an operator; of two members the second one leads."""
+    """The settings file of an operator with two members, of which the second leads."""
     started, loop = threading.Event(), asyncio.new_event_loop()
     state = StateMachine()
     for number in range(1, 5):
-        models = [HeldModel("m")] if number == 4 else []
-        state.apply(RecordBeat(Beat(instance(number, models=models), 1)))
+        models = [LoadedModel("m")] if number == 4 else []
+        state.apply(RecordHeartbeat(ReplicaHeartbeat(instance(number, models=models), 1)))
     state.apply(DrainInstance("i-2"))
     digest = hashlib.sha256(TOKEN.encode()).hexdigest()
     servers = []
     for leads in (False, True):
-        operations = Operations(Settings("c1", "z", "key"), Member(leads), state, FleetView())
+        operations = OperatorService(Settings("c1", "z", "key"), Member(leads), state, FleetView())
         listener = HttpListener("127.0.0.1", 0)
         servers.append(HttpServer(operator_application(operations, [digest]), listener))
 
@@ -92,7 +92,7 @@
     thread.join(10)
 
 
-def test_replicas_are_listed_with_who_sends_them_nothing_why_and_for_how_long(settings):
+def test_replicas_are_listed_with_the_gateways_that_exclude_them_reason_and_time(settings):
     shown = CliRunner().invoke(application, ["replicas", "-s", settings]).output
     assert shown.splitlines() == [
         "till i-1 z 127.0.0.1:1 ready",
@@ -104,8 +104,8 @@
         "  g-1: unreachable",
         "till i-4 z 127.0.0.1:4 ready holds m",
     ]
-    told = CliRunner().invoke(application, ["replicas", "--json", "-s", settings]).output
-    lines = msgspec.json.decode(told, type=list[RegisteredReplicaLine])
+    encoded = CliRunner().invoke(application, ["replicas", "--json", "-s", settings]).output
+    lines = msgspec.json.decode(encoded, type=list[RegisteredReplicaLine])
     assert [(line.instance_id, line.limit_per_s) for line in lines][2:] == [
         ("i-3", 1.5),
         ("i-4", None),
@@ -114,12 +114,12 @@
     assert "i-4" not in shown and "i-1" in shown
 
 
-def test_a_heartbeat_names_few_replicas_the_worst_first():
-    book = ReplicaBook()
+def test_heartbeat_reports_a_bounded_number_of_exclusions_the_most_severe_first():
+    registry = ReplicaRegistry()
     listed = [instance(number) for number in range(1, 60)]
-    book.adopt(DirectoryChange(1, listed, []), True, 0.0)
+    registry.adopt(DirectoryChange(1, listed, []), True, 0.0)
     for number in range(1, 60):
-        book.find(f"i-{number}").availability.note_rest(5.0, now_s=0.0)
-    book.find("i-59").note_leaving(0.0)
-    told = book.excluded(0.0)
-    assert len(told) == MOST_TOLD and told[0].instance_id == "i-59"
+        registry.find(f"i-{number}").availability.note_backoff(5.0, now_s=0.0)
+    registry.find("i-59").note_draining(0.0)
+    exclusions = registry.excluded(0.0)
+    assert len(exclusions) == MAX_REPORTED_EXCLUSIONS and exclusions[0].instance_id == "i-59"
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -11,7 +11,7 @@
 from crowsill.state.commands import OrderKind
 from crowsill_lab.relay import SilencingRelay
 from tests.control_group import ControlGroup, FollowingGateway, until
-from tests.gateway_world import LOCAL, Caller, good, silent, world
+from tests.gateway_world import LOCAL, Caller, never_respond, respond_ok, world
 from tests.platform_site import ROOT
 
 sys.path.insert(0, str(ROOT / "platform"))
@@ -29,11 +29,11 @@
 
 
 @DIRECTIONS
-def test_a_change_is_in_force_though_streams_between_members_and_gateways_went_silent(
+def test_a_change_takes_effect_though_streams_between_members_and_gateways_went_silent(
     tmp_path, to_target, to_caller
 ):
-    # Seen as a hypothesis for a change that was not in force: a member whose stream from the leader
-    # is silent applies nothing, and has the leader confirm on another stream that it should.
+    # A member whose stream from the leader is silent applies nothing, while the leader confirms on
+    # another stream what it should have applied. A change would then not take effect there.
     async def scenario():
         group = ControlGroup(tmp_path)
         await group.start()
@@ -46,7 +46,7 @@
                 relay.silence(to_target, to_caller)
             await group.publish(2)
             await until(lambda: gateway.follower.routes_version == 2)
-            # All members have it, and stay together: nobody is left behind a silent stream.
+            # All members have it: none is left behind a silent stream.
             machines = [role._machine for role in group.roles]
             await until(lambda: all(item.routes.current.version == 2 for item in machines))
         finally:
@@ -56,11 +56,11 @@
     run(scenario())
 
 
-def test_a_replica_whose_open_connections_went_silent_is_asked_on_new_ones():
-    # A request on such a connection waits for its deadline, since it may have run. The others that
-    # are kept open to the same replica are as old and must not cost a request each.
+def test_a_replica_whose_open_connections_went_silent_is_used_on_new_ones():
+    # A request on such a connection waits for its deadline, since it may have run. The other idle
+    # connections to that replica are as old and must not cost a request each.
     async def scenario():
-        async with world(good) as here:
+        async with world(respond_ok) as here:
             relay = SilencingRelay()
             (port,) = free_ports(1)
             await relay.listen(port, here._replicas[0].port)
@@ -73,17 +73,17 @@
                 await caller.body(headers)
             assert here.role.pool.has_idle("i-2")
             relay.silence(to_target=True, to_caller=True)
-            status, _, _ = await callers[0].ask("once", headers=["crowsill-deadline-ms: 1800"])
+            status, _, _ = await callers[0].request("once", headers=["crowsill-deadline-ms: 1800"])
             assert status == 504
-            await until(lambda: not here.role.book.find("i-2").availability.is_unreachable)
-            status, _, _ = await callers[1].ask("once", headers=["crowsill-deadline-ms: 1800"])
+            await until(lambda: not here.role.registry.find("i-2").availability.is_unreachable)
+            status, _, _ = await callers[1].request("once", headers=["crowsill-deadline-ms: 1800"])
             assert status == 200
             relay.close()
 
     run(scenario())
 
 
-class StandInEngine:
+class FakeEngine:
     """Answers reports and orders, and counts the orders that it accepted."""
 
     def __init__(self):
@@ -118,9 +118,9 @@
 
 
 @DIRECTIONS
-def test_an_engine_whose_open_connections_went_silent_is_ordered_on_new_ones(to_target, to_caller):
+def test_an_engine_whose_open_connections_went_silent_gets_orders_on_new_ones(to_target, to_caller):
     async def scenario():
-        engine, relay = StandInEngine(), SilencingRelay()
+        engine, relay = FakeEngine(), SilencingRelay()
         target = await engine.start()
         (port,) = free_ports(1)
         await relay.listen(port, target)
@@ -132,7 +132,7 @@
         relay.silence(to_target, to_caller)
         order = EngineOrder(OrderKind.LOAD, "m0", "", 0, "n", 1)
         answers = [await calls.order(instance, order) for _ in range(4)]
-        # Nothing says whether the first copies arrived; a report on a new connection does.
+        # Only a report on a new connection shows whether the first attempts arrived.
         assert answers[0] is OrderAnswer.UNKNOWN
         assert answers[-1] in (OrderAnswer.ACCEPTED, OrderAnswer.NOT_NOW)
         assert (await calls.report(instance)).sequence == engine.accepted == 1
@@ -144,10 +144,10 @@
 
 @DIRECTIONS
 def test_a_request_of_a_caller_that_went_silent_ends_with_its_deadline(to_target, to_caller):
-    # Behind a relay that keeps acknowledging nothing tells that the caller is gone: its deadline
-    # ends the request, and the gateway goes on serving others.
+    # Behind a relay that still acknowledges, the gateway can't detect that the caller is gone. The
+    # deadline ends the request, and the gateway continues to serve others.
     async def scenario():
-        async with world(silent) as here:
+        async with world(never_respond) as here:
             relay = SilencingRelay()
             (port,) = free_ports(1)
             await relay.listen(port, here.role.port())
@@ -156,10 +156,10 @@
             await until(lambda: here.role._exchanges)
             relay.silence(to_target, to_caller)
             await until(lambda: not here.role._exchanges)
-            record = here.role.book.find("i-1")
+            record = here.role.registry.find("i-1")
             await until(lambda: record.in_flight == 0)
             other = await here.caller()
-            status, _, _ = await other.ask("unknown-route")
+            status, _, _ = await other.request("unknown-route")
             assert status == 404
             relay.close()
 
