--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,8 +1,8 @@
-"""The users' platform in small: machines as processes on loopback addresses, replicas, operator.
+"""A small site on the users' platform: machines as processes on loopback addresses, and replicas.
 
-The programs are the real ones, started with the words of `deploy/system.toml` and settings in the
-platform's form. The replicas here speak the platform's dialect and are otherwise obedient; what
-real ones do wrong is played in `test_gateway_http.py`.
+The processes are the real programs, started with the commands of `deploy/system.toml` and settings
+in the platform's format. The simulated replicas use the platform's protocol without errors;
+`test_gateway_http.py` covers replicas that violate it.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
         self.data = self.folder / "data"
         self.settings = self.folder / "boot.toml"
         self.log = self.folder / "log.txt"
-        # Machines that the settings name as seeds; None for the first ones of the site.
+        # Machines listed as seeds in the settings; None for the first core machines of the site.
         self.seeds = None
 
     @property
@@ -56,7 +56,7 @@
         return f"{self.ip}:{self.site.front_port}"
 
     def write_settings(self, bootstrap, seeds=None):
-        """Write the settings file as the platform would."""
+        """Write the settings file in the platform's format."""
         role = DEPLOY["roles"][self.role]
         seeds = [machine.control for machine in seeds or self.seeds or self.site.core[:3]]
         listen = [f'control = "{self.control}"']
@@ -90,16 +90,16 @@
         self.settings.write_text("\n".join(lines) + "\n")
 
     def start(self, bootstrap=False):
-        """Start the process with the words of the deploy file."""
+        """Start the process with the command of the deploy file."""
         self.write_settings(bootstrap)
-        words = DEPLOY["roles"][self.role]["run"].split()
-        assert words[0] == "python3"
-        # The platform's path holds the installed libraries, and no other folder is looked at.
+        command_words = DEPLOY["roles"][self.role]["run"].split()
+        assert command_words[0] == "python3"
+        # As on the platform, PYTHONPATH has only the folder of the installed libraries.
         libraries = sysconfig.get_path("purelib")
         named = {"CROWSILL_CONFIG": str(self.settings), "PYTHONPATH": libraries}
         environment = {**os.environ, **named}
         with self.log.open("ab") as log:
-            command = [sys.executable, *words[1:]]
+            command = [sys.executable, *command_words[1:]]
             self.process = subprocess.Popen(
                 command, cwd=ROOT, env=environment, stdout=log, stderr=log
             )
@@ -110,17 +110,17 @@
         self.process.wait()
 
     def wipe(self):
-        """Lose the disk."""
+        """Delete the data folder, as if the disk was lost."""
         shutil.rmtree(self.data)
 
     def stop(self, within_s):
-        """Stop by plan; return the exit code."""
+        """Stop with SIGTERM; return the exit code."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(within_s)
 
 
-class StandInReplica:
-    """A replica in the platform's dialect: an engine, or a plain service."""
+class SimulatedReplica:
+    """A simulated replica with the platform's protocol: an engine, or a plain service."""
 
     def __init__(self, site, number, service, models=None):
         self.site = site
@@ -131,24 +131,24 @@
         self.state = "ready"
         self.served = 0
         self.orders = []
-        # Headers of the last request that it ran.
+        # Headers of the last request that the replica ran.
         self.last_headers = {}
         self.sequence = 0
-        self._beat_sequence = 0
+        self._heartbeat_sequence = 0
         self._tasks = []
         self._writers = set()
         self.delay_s = 0.0
-        # Unix milliseconds of the start of this life; None where replicas do not tell.
-        self.born = None
+        # Start of this incarnation in Unix milliseconds; None if the replica does not report it.
+        self.started_ms = None
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
-        self._tasks.append(asyncio.create_task(self._beat_on()))
+        self._tasks.append(asyncio.create_task(self._send_heartbeats()))
         return self
 
     def description(self):
-        self._beat_sequence += 1
+        self._heartbeat_sequence += 1
         document = {
             "service": self.service,
             "addr": f"127.0.0.1:{self.port}",
@@ -157,28 +157,28 @@
             "slots": 8,
             "state": self.state,
             "coldLeftMs": 0,
-            "seq": self._beat_sequence,
+            "seq": self._heartbeat_sequence,
         }
-        if self.born is not None:
-            document["born"] = self.born
+        if self.started_ms is not None:
+            document["born"] = self.started_ms
         if self.models is not None:
-            document["models"] = self._held()
+            document["models"] = self._loaded_models()
         return document
 
-    def _held(self):
+    def _loaded_models(self):
         return [
             {"name": name, "version": 1, "adapters": sorted(self.adapters.get(name, ()))}
             for name in self.models
         ]
 
-    async def beat(self):
+    async def send_heartbeat(self):
         """Send one heartbeat; return whether it was acknowledged."""
         path = f"/instances/{self.instance_id}"
         return await self.site.call("PUT", path, self.description()) == 200
 
-    async def _beat_on(self):
+    async def _send_heartbeats(self):
         while True:
-            await self.beat()
+            await self.send_heartbeat()
             await asyncio.sleep(HEARTBEAT_S)
 
     async def _serve(self, reader, writer):
@@ -201,9 +201,14 @@
             return 421, [], b""
         method, path, _ = first.split(" ")
         if (method, path) == ("GET", "/report"):
-            report = {"models": self._held(), "busy": False, "seq": self.sequence, "coming": []}
-            if self.born is not None:
-                report["born"] = self.born
+            report = {
+                "models": self._loaded_models(),
+                "busy": False,
+                "seq": self.sequence,
+                "coming": [],
+            }
+            if self.started_ms is not None:
+                report["born"] = self.started_ms
             return 200, [], json.dumps(report).encode()
         if (method, path) == ("POST", "/order"):
             return self._order(json.loads(body)), [], b""
@@ -240,18 +245,18 @@
             task.cancel()
         self._server.close()
 
-    def end_connections(self):
-        """Close all connections, as an end does."""
+    def abort_connections(self):
+        """Abort all connections, as a crash does."""
         for writer in self._writers:
             writer.transport.abort()
 
 
 class PlatformSite:
-    """All machines of a small site."""
+    """The machines of a small site."""
 
     def __init__(self, folder, core=5, fronts=2, redirectors=0):
         self.folder = folder
-        # Further lines of the settings' table of bounds.
+        # Further lines of the table `bounds` in the settings.
         self.bounds = []
         ports = free_ports(4)
         self.control_port, self.front_port, self.ready_port, self.inner_port = ports
@@ -261,7 +266,7 @@
         self.fronts = []
         for number in range(fronts):
             self.fronts.append(Machine(self, f"front-{number}", f"127.0.2.{number + 1}", "gateway"))
-        # Control processes on the machines of gateways, which have no disk here.
+        # Control processes without a disk, on the machines of gateways.
         self.redirectors = [
             Machine(self, f"beside-{number}", front.ip, "control-beside-gateway", has_disk=False)
             for number, front in enumerate(self.fronts[:redirectors])
@@ -282,12 +287,12 @@
                 machine.process.wait()
 
     async def call(self, method, path, document=None, machine=None, timeout_s=1.0):
-        """Call control members in turn until one answers; return the status, or 0."""
-        status, _ = await self.call_whole(method, path, document, machine, timeout_s)
+        """Call control members in turn until one responds; return the status, or 0."""
+        status, _ = await self.call_with_body(method, path, document, machine, timeout_s)
         return status
 
-    async def call_whole(self, method, path, document=None, machine=None, timeout_s=1.0):
-        """As `call`, with the body."""
+    async def call_with_body(self, method, path, document=None, machine=None, timeout_s=1.0):
+        """Call control members as `call` does; return the status and the body."""
         targets = [machine] if machine is not None else self.core
         content = document if isinstance(document, bytes) else json.dumps(document).encode()
         timeout = aiohttp.ClientTimeout(total=timeout_s)
@@ -303,7 +308,7 @@
         return 0, b""
 
     async def publish(self, document, within_s=8.0):
-        """Publish until acknowledged or refused; return the status."""
+        """Publish until the request is acknowledged or rejected; return the status."""
         deadline_s = time.monotonic() + within_s
         while time.monotonic() < deadline_s:
             status = await self.call("PUT", "/config", document, timeout_s=4.0)
@@ -313,7 +318,7 @@
         return 0
 
     async def ask(self, front, path, headers=None, body=b"x", timeout_s=5.0):
-        """Send a request through a gateway; return status and body."""
+        """Send a request through a gateway; return the status and the body."""
         named = {"Host": "shop.example", ID: os.urandom(8).hex(), **(headers or {})}
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -321,16 +326,16 @@
             async with session.post(url, data=body, headers=named) as response:
                 return response.status, await response.read()
 
-    async def until(self, wanted, within_s=10.0):
-        """Wait until an awaitable condition holds."""
+    async def until(self, condition, within_s=10.0):
+        """Wait until an asynchronous condition holds."""
         deadline_s = time.monotonic() + within_s
-        while not await wanted():
-            assert time.monotonic() < deadline_s, "the condition did not come to hold"
+        while not await condition():
+            assert time.monotonic() < deadline_s, "the condition did not hold in time"
             await asyncio.sleep(0.05)
 
 
 def configuration(version, **changes):
-    """A configuration document of the platform."""
+    """Return a configuration document of the platform."""
     document = {
         "version": version,
         "routes": [
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -13,7 +13,7 @@
 import aiohttp
 import pytest
 
-from tests.platform_site import ID, PlatformSite, StandInReplica, configuration
+from tests.platform_site import ID, PlatformSite, SimulatedReplica, configuration
 
 REPLICAS = 8
 # How long the crashing request is sent, and how long a replica needs to restart.
@@ -28,7 +28,7 @@
 CRASH = b"crash"
 
 
-class CrashingReplica(StandInReplica):
+class CrashingReplica(SimulatedReplica):
     """Crashes when it starts to run the crashing request, and restarts under a new id."""
 
     incarnations = 0
@@ -50,7 +50,7 @@
             if self.instance_id not in self._record.crashed_at_s:
                 self._record.crashed_at_s[self.instance_id] = time.monotonic()
                 await self.stop()
-                self.end_connections()
+                self.abort_connections()
                 asyncio.get_running_loop().call_later(RESTART_S, self._record.restart)
             raise ConnectionResetError
         return await super()._answer(first, headers, body)
--- a/tests/test_finding_the_group.py
+++ b/tests/test_finding_the_group.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from tests.platform_site import PlatformSite, StandInReplica, configuration
+from tests.platform_site import PlatformSite, SimulatedReplica, configuration
 
 MAX_UNSERVED_S = 12.0
 MAX_JOIN_S = 8.0
@@ -43,7 +43,7 @@
         return True
 
     await site.until(served, MAX_UNSERVED_S)
-    status, content = await site.call_whole("GET", "/config")
+    status, content = await site.call_with_body("GET", "/config")
     assert status == 200 and f'"version": {version}'.encode() in content
 
     async def have_joined():
@@ -66,7 +66,7 @@
     site.start()
 
     async def scenario():
-        replica = await StandInReplica(site, 1, "till").start()
+        replica = await SimulatedReplica(site, 1, "till").start()
         assert await site.publish(configuration(1)) == 200
         # By then the processes without a disk have found the group.
         await asyncio.sleep(3.0)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.platform_site import PlatformSite, StandInReplica, configuration
+from tests.platform_site import PlatformSite, SimulatedReplica, configuration
 
 USED_WITHIN_S = 1.0
 STARTED_MS = 1_700_000_000_000
@@ -32,7 +32,7 @@
 
 async def _crash(replica):
     await replica.stop()
-    replica.end_connections()
+    replica.abort_connections()
 
 
 async def _is_served(site):
@@ -46,21 +46,21 @@
 def test_a_replica_that_restarts_under_its_id_is_used_at_once(site):
     async def scenario():
         assert await site.publish(configuration(1)) == 200
-        first = StandInReplica(site, 1, "till")
-        first.born = STARTED_MS
-        first._beat_sequence = 500
+        first = SimulatedReplica(site, 1, "till")
+        first.started_ms = STARTED_MS
+        first._heartbeat_sequence = 500
         await first.start()
         await _served(site)
         await _crash(first)
-        restarted = StandInReplica(site, 1, "till")
-        restarted.born = STARTED_MS + 5000
+        restarted = SimulatedReplica(site, 1, "till")
+        restarted.started_ms = STARTED_MS + 5000
         await restarted.start()
         started_at_s = time.monotonic()
         await _served(site)
         assert time.monotonic() - started_at_s < USED_WITHIN_S
         # A delayed heartbeat of the former incarnation changes nothing.
         for _ in range(3):
-            assert await first.beat()
+            assert await first.send_heartbeat()
             assert await _is_served(site)
         await restarted.stop()
 
@@ -103,9 +103,9 @@
 def test_an_invalid_description_is_rejected_and_not_used(site):
     async def scenario():
         assert await site.publish(configuration(1)) == 200
-        good = await StandInReplica(site, 1, "till").start()
+        good = await SimulatedReplica(site, 1, "till").start()
         await _served(site)
-        described = StandInReplica(site, 2, "till")
+        described = SimulatedReplica(site, 2, "till")
         described.port = 9
         for name, change in INVALID_DESCRIPTIONS.items():
             document = copy.deepcopy(described.description())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The real programs on the users' platform in small, started as the deploy file says."""
+"""The real programs on a small site of the users' platform, started as in the deploy file."""
 
 import asyncio
 import copy
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.platform_site import DEPLOY, ROOT, PlatformSite, StandInReplica, configuration
+from tests.platform_site import DEPLOY, ROOT, PlatformSite, SimulatedReplica, configuration
 
 PLATFORM_NAMES = re.compile(
     r"x-crowsill-|CROWSILL_CONFIG\b|beatAddr|beat_addr|pathPrefix|weightsMb|innerPorts|"
@@ -17,13 +17,13 @@
 )
 
 
-def test_the_product_knows_no_name_of_the_platform():
+def test_the_product_contains_no_names_of_the_platform():
     for path in (ROOT / "src").rglob("*.py"):
         found = PLATFORM_NAMES.search(path.read_text())
         assert found is None, f"{path}: {found}"
 
 
-def test_the_platforms_folder_hides_no_module_of_the_language():
+def test_the_platform_folder_does_not_shadow_the_standard_library():
     assert not (ROOT / "platform" / "__init__.py").exists()
     for role in DEPLOY["roles"].values():
         assert Path(ROOT / role["run"].split()[-1]).is_file()
@@ -42,7 +42,7 @@
 
 
 def served(site, path, headers=None):
-    """A condition: every gateway serves a path."""
+    """Return the condition that every gateway serves a path."""
 
     async def holds():
         for front in site.fronts:
@@ -58,7 +58,7 @@
 
 
 def broken_documents():
-    """Every kind of document that must be refused."""
+    """Return an example of each kind of document that must be rejected."""
 
     def changed(change):
         document = copy.deepcopy(configuration(50))
@@ -83,35 +83,35 @@
     }
 
 
-def test_a_calm_day(site):
+def test_operation_without_faults(site):
     async def scenario():
-        till = await StandInReplica(site, 1, "till").start()
-        engine = await StandInReplica(site, 2, "models", ["m0", "m1"]).start()
+        till = await SimulatedReplica(site, 1, "till").start()
+        engine = await SimulatedReplica(site, 2, "models", ["m0", "m1"]).start()
         assert await site.publish(configuration(3)) == 200
         await site.until(served(site, "/pay/x"))
 
-        # Read back as it was sent, at every member; what is older or repeated alters nothing.
+        # Every member returns the document as published; older or repeated versions change nothing.
         assert await site.publish(configuration(3)) == 200
         assert await site.publish(configuration(2, routes=[])) == 200
         sent = json.dumps(configuration(3)).encode()
         for machine in site.core:
-            # A member that cannot be certain of the newest answers 503, but not for long.
+            # A member that cannot prove that its version is the newest responds 503 for a while.
             status, content = 0, b""
             for _ in range(30):
-                status, content = await site.call_whole("GET", "/config", machine=machine)
+                status, content = await site.call_with_body("GET", "/config", machine=machine)
                 if status:
                     break
                 await asyncio.sleep(0.1)
             assert (status, content) == (200, sent)
 
-        # What is invalid is refused and never in force.
+        # Invalid documents are rejected and never take effect.
         for name, document in broken_documents().items():
             assert 400 <= await site.publish(document) < 500, name
-        _, content = await site.call_whole("GET", "/config")
+        _, content = await site.call_with_body("GET", "/config")
         assert content == sent
         assert await site.call("PUT", "/instances/i-9", {"service": 1}) == 400
 
-        # A model that is held nowhere, and an adapter of it, are loaded for the request.
+        # A model that is not loaded anywhere, and its adapter, are loaded for the request.
         status, body = await site.ask(
             site.fronts[0], "/draft/x", {"X-Crowsill-Model": "m3/a1"}, b"hello"
         )
@@ -122,7 +122,7 @@
         assert len({order["holder"] for order in orders}) == 1
         assert all("expect" in order for order in orders)
 
-        # A newer version is in force at every gateway; an unknown path is refused.
+        # A newer version takes effect at every gateway; an unknown path is rejected.
         document = configuration(9)
         document["routes"][0]["pathPrefix"] = "/pay2/"
         assert await site.publish(document) == 200
@@ -130,18 +130,18 @@
         for front in site.fronts:
             assert (await site.ask(front, "/pay/x"))[0] == 404
 
-        # A draining replica gets nothing more.
-        other = await StandInReplica(site, 3, "till").start()
+        # A draining replica gets no more requests.
+        other = await SimulatedReplica(site, 3, "till").start()
         await asyncio.sleep(0.5)
         till.state = "draining"
-        assert await till.beat()
+        assert await till.send_heartbeat()
         await asyncio.sleep(0.5)
         before = till.served
         for _ in range(6):
             assert (await site.ask(site.fronts[0], "/pay2/x"))[0] == 200
         assert till.served == before and other.served >= 6
 
-        # A planned stop cuts nothing.
+        # A planned stop completes requests in flight.
         other.delay_s = 1.0
         asking = [asyncio.create_task(site.ask(site.fronts[1], "/pay2/x")) for _ in range(5)]
         await asyncio.sleep(0.3)
@@ -152,9 +152,9 @@
     run(scenario())
 
 
-def test_members_are_lost_killed_and_wiped(site):
+def test_members_are_killed_and_lose_their_disks(site):
     async def scenario():
-        replicas = [await StandInReplica(site, 1, "till").start()]
+        replicas = [await SimulatedReplica(site, 1, "till").start()]
         assert await site.publish(configuration(1)) == 200
         await site.until(served(site, "/pay/x"))
 
@@ -165,7 +165,7 @@
             machine.wipe()
         status, content = 0, b""
         for _ in range(40):
-            status, content = await site.call_whole("GET", "/config")
+            status, content = await site.call_with_body("GET", "/config")
             if status == 200:
                 break
             await asyncio.sleep(0.2)
@@ -173,7 +173,7 @@
         for machine in site.core[:2]:
             machine.start(bootstrap=False)
 
-        # Trusted again after the time that the platform gives: two others may go now.
+        # After the recovery time that the platform allows, two other members may be lost.
         await asyncio.sleep(4.0)
         for machine in site.core[2:4]:
             machine.kill()
@@ -181,13 +181,13 @@
         for machine in site.core[2:4]:
             machine.start()
 
-        # All at once, and back within a second.
+        # All processes are killed together and restarted within a second.
         for machine in site.machines:
             machine.kill()
         for machine in site.machines:
             machine.start()
         await site.until(served(site, "/pay/x"), within_s=12.0)
-        status, content = await site.call_whole("GET", "/config")
+        status, content = await site.call_with_body("GET", "/config")
         assert status == 200 and json.loads(content)["version"] == 3
         assert await site.publish(configuration(4)) == 200
         for replica in replicas:
@@ -196,8 +196,8 @@
     run(scenario())
 
 
-def test_control_processes_without_a_disk_point_at_the_members(tmp_path):
-    """They start beside gateways where other machines are set aside for control, too."""
+def test_control_processes_without_a_disk_redirect_to_the_members(tmp_path):
+    """Such processes run beside gateways even if other machines are reserved for control."""
     site = PlatformSite(tmp_path, core=3, fronts=1, redirectors=1)
     site.start()
     beside = site.redirectors[0]
@@ -205,14 +205,14 @@
     async def scenario():
         assert await site.publish(configuration(1)) == 200
 
-        async def points_at_a_member():
-            status, body = await site.call_whole("GET", "/config", machine=beside)
+        async def redirects_to_a_member():
+            status, body = await site.call_with_body("GET", "/config", machine=beside)
             return status == 200 and json.loads(body)["version"] == 1
 
-        await site.until(points_at_a_member)
-        # The operator may choose it for a change, and it never ends by itself.
+        await site.until(redirects_to_a_member)
+        # Operators may send changes to it, and it never exits by itself.
         assert await site.call("PUT", "/config", configuration(2), machine=beside) == 200
-        status, body = await site.call_whole("GET", "/config")
+        status, body = await site.call_with_body("GET", "/config")
         assert status == 200 and json.loads(body)["version"] == 2
         assert beside.process.poll() is None
         assert beside.stop(5) == 0
--- a/tests/test_platform_closes.py
+++ b/tests/test_platform_closes.py
@@ -1,6 +1,7 @@
-"""Callers that close their connection, wherever their request is, against the real programs.
+"""Callers that close their connection in any phase of their request, against the real programs.
 
-The replica is freed within half a second, and nothing of the request reaches one later.
+The gateway must cancel the request at its replica within half a second, and must not send it to a
+replica later.
 """
 
 import asyncio
@@ -11,19 +12,19 @@
 
 import pytest
 
-from tests.platform_site import ID, PlatformSite, StandInReplica, configuration
+from tests.platform_site import ID, PlatformSite, SimulatedReplica, configuration
 
-FREED_WITHIN_S = 0.5
+MAX_CANCEL_DELAY_S = 0.5
 
 
-class WatchingReplica(StandInReplica):
-    """Notes what reaches it and when its caller is gone; answers as its path says."""
+class RecordingReplica(SimulatedReplica):
+    """Records when requests arrive and are cancelled; never completes a request."""
 
     def __init__(self, *arguments, **more):
         super().__init__(*arguments, **more)
         self.arrived = {}
-        self.freed_s = {}
-        self.takes_orders = True
+        self.cancelled_s = {}
+        self.accepts_orders = True
 
     async def _serve(self, reader, writer):
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -53,13 +54,13 @@
             head = f"HTTP/1.1 200 X\r\n{ID}: {request_id}\r\nX-Crowsill-Server-Stamp: s\r\n"
             writer.write(f"{head}Content-Type: text/event-stream\r\n\r\n".encode())
             writer.write(b"id: 1\ndata: x\n\n")
-        # It works until its caller is gone.
+        # Runs the request until the gateway closes the connection.
         await reader.read()
-        self.freed_s[request_id] = time.monotonic()
+        self.cancelled_s[request_id] = time.monotonic()
 
 
-class RejectingReplica(StandInReplica):
-    """Runs nothing, and says so."""
+class RejectingReplica(SimulatedReplica):
+    """Rejects every request with the header that it was not run."""
 
     def __init__(self, *arguments, **more):
         super().__init__(*arguments, **more)
@@ -120,8 +121,8 @@
     await site.until(is_known)
 
 
-async def freed(site, replica, caller):
-    """Wait until a replica has the request, close the caller, and check that it is freed."""
+async def assert_cancelled(site, replica, caller):
+    """Wait until the replica has the request, close the caller, and check the cancellation."""
 
     async def has_arrived():
         return caller.request_id in replica.arrived
@@ -129,58 +130,58 @@
     await site.until(has_arrived)
     await caller.close()
 
-    async def is_free():
-        return caller.request_id in replica.freed_s
+    async def is_cancelled():
+        return caller.request_id in replica.cancelled_s
 
-    await site.until(is_free)
-    assert replica.freed_s[caller.request_id] - caller.closed_s < FREED_WITHIN_S
+    await site.until(is_cancelled)
+    assert replica.cancelled_s[caller.request_id] - caller.closed_s < MAX_CANCEL_DELAY_S
 
 
-def test_a_caller_that_leaves_frees_its_replica_wherever_its_request_is(site):
+def test_a_disconnect_of_the_caller_cancels_its_request_in_any_phase(site):
     async def scenario():
-        till = WatchingReplica(site, 1, "till")
-        engine = WatchingReplica(site, 2, "models", ["m0"])
+        till = RecordingReplica(site, 1, "till")
+        engine = RecordingReplica(site, 2, "models", ["m0"])
         await ready_site(site, till, engine)
 
-        # Sent, without an answer yet.
-        await freed(site, till, await Caller(site, "/pay/x").send())
-        # In the middle of its stream.
+        # The request was sent and has no response yet.
+        await assert_cancelled(site, till, await Caller(site, "/pay/x").send())
+        # The response is being streamed.
         stream = await Caller(site, "/draft/events", ["X-Crowsill-Model: m0"]).send()
         await stream.reader.readuntil(b"data: x\n\n")
-        await freed(site, engine, stream)
-        # While it is read, and while it is held for a model that no engine holds.
+        await assert_cancelled(site, engine, stream)
+        # The request is being read, or waits for a model that no engine has loaded.
         unread = await Caller(site, "/pay/x", sent=2).send()
-        held = await Caller(site, "/draft/x", ["X-Crowsill-Model: m1"]).send()
+        waiting = await Caller(site, "/draft/x", ["X-Crowsill-Model: m1"]).send()
         await asyncio.sleep(0.1)
         await unread.close()
-        await held.close()
+        await waiting.close()
         engine.models.append("m1")
-        await engine.beat()
+        await engine.send_heartbeat()
         await asyncio.sleep(1.0)
         assert unread.request_id not in till.arrived
-        assert held.request_id not in engine.arrived
+        assert waiting.request_id not in engine.arrived
 
     run(scenario())
 
 
-def test_a_caller_that_leaves_frees_a_replica_that_was_tried_second(site):
+def test_a_disconnect_cancels_the_request_at_a_replica_that_was_tried_second(site):
     async def scenario():
-        till = WatchingReplica(site, 1, "till")
+        till = RecordingReplica(site, 1, "till")
         rejecting = RejectingReplica(site, 2, "till")
         await ready_site(site, rejecting, till)
-        # With one request at the other replica, the one that rejects is tried first.
-        staying = await Caller(site, "/pay/x").send()
+        # While the other replica runs a request, the one that rejects is tried first.
+        pending = await Caller(site, "/pay/x").send()
         while rejecting.rejected == 0:
             caller = await Caller(site, "/pay/x").send()
-            await freed(site, till, caller)
-        await staying.close()
+            await assert_cancelled(site, till, caller)
+        await pending.close()
 
     run(scenario())
 
 
-def test_a_caller_that_leaves_a_stopping_gateway_frees_its_replica(site):
+def test_a_disconnect_cancels_the_request_while_the_gateway_stops(site):
     async def scenario():
-        till = WatchingReplica(site, 1, "till")
+        till = RecordingReplica(site, 1, "till")
         await ready_site(site, till)
         caller = await Caller(site, "/pay/x").send()
 
@@ -190,6 +191,6 @@
         await site.until(has_arrived)
         site.fronts[0].process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
-        await freed(site, till, caller)
+        await assert_cancelled(site, till, caller)
 
     run(scenario())
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -1,4 +1,4 @@
-"""Tenants on the users' platform in small, with the real programs."""
+"""Tenants and API keys on a small site of the users' platform, with the real programs."""
 
 import asyncio
 import copy
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.platform_site import ID, PlatformSite, StandInReplica, configuration
+from tests.platform_site import ID, PlatformSite, SimulatedReplica, configuration
 
 REVOKE_S = 2.0
 RATE = 50
@@ -36,7 +36,7 @@
 
 
 def document(version, *keys, **more):
-    """A configuration with two tenants; `pay` asks for a key, `draft` is public."""
+    """Return a configuration with two tenants; `pay` requires a key, `draft` is public."""
     made = copy.deepcopy(configuration(version))
     made["routes"][1]["public"] = True
     made["tenants"] = [
@@ -46,9 +46,9 @@
     return made
 
 
-async def begin(site, *keys, **more):
-    """Put a configuration in force at every gateway; return the replica of the plain service."""
-    replica = await StandInReplica(site, 1, "till").start()
+async def publish_and_start(site, *keys, **more):
+    """Publish, wait until every gateway serves it; return the replica of the plain service."""
+    replica = await SimulatedReplica(site, 1, "till").start()
     assert await site.publish(document(1, *keys, **more)) == 200
 
     async def served():
@@ -71,9 +71,9 @@
         os.kill(machine.process.pid, number)
 
 
-def test_who_calls_is_known_and_the_key_goes_no_further(site):
+def test_the_replica_receives_the_tenant_but_not_the_key(site):
     async def scenario():
-        replica = await begin(site, "shop-key")
+        replica = await publish_and_start(site, "shop-key")
         front = site.fronts[0]
         claimed = {**KEY, "X-Crowsill-Tenant": "rival"}
         assert await status(site, front, claimed) == 200
@@ -90,21 +90,21 @@
     run(scenario())
 
 
-def test_a_key_shared_by_two_tenants_is_never_in_force(site):
+def test_a_key_shared_by_two_tenants_never_takes_effect(site):
     async def scenario():
-        replica = await begin(site, "shop-key")
+        replica = await publish_and_start(site, "shop-key")
         assert await site.publish(document(5, "steady-key")) == 422
         assert await status(site, site.fronts[0], KEY) == 200
-        # It was valid against the version before last only: what counts is the whole that is sent.
+        # Each document is validated by itself, not against previous versions.
         assert await site.publish(document(6, "other-key")) == 200
         await replica.stop()
 
     run(scenario())
 
 
-def test_a_new_key_is_served_and_a_taken_one_is_not_everywhere_within_a_moment(site):
+def test_added_and_revoked_keys_take_effect_at_all_gateways_soon(site):
     async def scenario():
-        replica = await begin(site, "shop-key")
+        replica = await publish_and_start(site, "shop-key")
         assert await site.publish(document(2, "new-key")) == 200
         new = {"Authorization": "Bearer new-key"}
 
@@ -121,10 +121,11 @@
     run(scenario())
 
 
-def test_a_gateway_that_was_suspended_while_a_key_was_taken_away_runs_nothing_with_it(site):
-    # Requests lie in its sockets when it wakes up, and its last proof is older than the bound.
+def test_a_gateway_suspended_during_a_key_revocation_rejects_the_key_afterwards(site):
+    # When the gateway resumes, its sockets have pending requests, and its last proof of the key's
+    # validity is older than the bound.
     async def scenario():
-        replica = await begin(site, "shop-key")
+        replica = await publish_and_start(site, "shop-key")
         front = site.fronts[0]
         assert await status(site, front, KEY) == 200
         signal_all([front], signal.SIGSTOP)
@@ -143,9 +144,9 @@
     run(scenario())
 
 
-def test_a_gateway_that_reaches_no_member_stops_in_time_and_serves_again_after(site):
+def test_a_gateway_without_control_members_stops_serving_in_time_and_recovers(site):
     async def scenario():
-        replica = await begin(site, "shop-key")
+        replica = await publish_and_start(site, "shop-key")
         front = site.fronts[0]
         signal_all(site.core, signal.SIGSTOP)
         suspended_s = time.monotonic()
@@ -167,29 +168,33 @@
     run(scenario())
 
 
-def test_what_all_gateways_let_through_keeps_the_tenants_rate(site):
+def test_all_gateways_together_enforce_the_rate_limit_of_a_tenant(site):
     async def scenario():
-        replica = await begin(site, "shop-key", ratePerS=RATE, burst=RATE)
+        replica = await publish_and_start(site, "shop-key", ratePerS=RATE, burst=RATE)
         replica.delay_s = 0.0
-        # The bucket of a leader that has just been elected is empty.
+        # The token bucket of a newly elected leader is empty.
         await asyncio.sleep(1.5)
-        runs = []
+        completed = []
 
-        async def press(front, until_s):
+        async def send_repeatedly(front, until_s):
             while time.monotonic() < until_s:
                 sent_s = time.monotonic()
                 if await status(site, front, KEY) == 200:
-                    runs.append((sent_s, time.monotonic()))
+                    completed.append((sent_s, time.monotonic()))
 
         until_s = time.monotonic() + 5.0
-        await asyncio.gather(*(press(front, until_s) for front in site.fronts for _ in range(6)))
-        most = max(
-            sum(1 for sent_s, ended_s in runs if begin_s <= sent_s and ended_s <= begin_s + 2.0)
-            for begin_s, _ in runs
+        await asyncio.gather(
+            *(send_repeatedly(front, until_s) for front in site.fronts for _ in range(6))
         )
-        assert most <= (RATE * 2 + RATE) * 1.1 + 20
-        assert len(runs) > RATE * 5 * 0.8, "what is within the rate is served"
-        # Others are not held up by it.
+        max_completed = max(
+            sum(
+                1 for sent_s, ended_s in completed if begin_s <= sent_s and ended_s <= begin_s + 2.0
+            )
+            for begin_s, _ in completed
+        )
+        assert max_completed <= (RATE * 2 + RATE) * 1.1 + 20
+        assert len(completed) > RATE * 5 * 0.8, "requests within the rate limit are served"
+        # Other tenants are not affected.
         assert await status(site, site.fronts[0], STEADY) == 200
         await replica.stop()
 
@@ -198,8 +203,8 @@
 
 def test_a_public_route_serves_callers_without_a_key(site):
     async def scenario():
-        engine = await StandInReplica(site, 2, "models", ["m0"]).start()
-        replica = await begin(site, "shop-key")
+        engine = await SimulatedReplica(site, 2, "models", ["m0"]).start()
+        replica = await publish_and_start(site, "shop-key")
         named = {"X-Crowsill-Model": "m0", "X-Crowsill-Tenant": "rival", ID: "r1"}
 
         async def serves():
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -21,13 +21,13 @@
 from crowsill_lab.windows import max_events_in_window
 from tests.gateway_world import ID as LOCAL_ID
 from tests.gateway_world import encode_response, respond_ok, run, world
-from tests.platform_site import ID, StandInReplica
+from tests.platform_site import ID, SimulatedReplica
 from tests.watched_site import PLAYED_S, send_requests, site_of_three, start_replicas
 
 RUN_S = 0.1
 
 
-class LimitedReplica(StandInReplica):
+class LimitedReplica(SimulatedReplica):
     """Advertises a rate limit in its responses and records its requests."""
 
     def __init__(self, site, number, service, per_s=None):
--- a/tests/test_replica_rest.py
+++ b/tests/test_replica_rest.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.platform_site import ID, StandInReplica
+from tests.platform_site import ID, SimulatedReplica
 from tests.watched_site import play, send_requests, site_of_three, start_replicas
 
 RUN_S = 0.2
@@ -40,7 +40,7 @@
     arrivals_s: list[float]
 
 
-class WatchedReplica(StandInReplica):
+class WatchedReplica(SimulatedReplica):
     """Records its requests and rejects those beyond its capacity with a backoff."""
 
     def __init__(self, site, number, service, capacity=HIGH_CAPACITY, backoff_s=3.0):
