--- a/src/crowsill_lab/bench/calls.py
+++ b/src/crowsill_lab/bench/calls.py
@@ -83,8 +83,8 @@
 async def fetch_json(url: str) -> dict[str, float]:
     """Get a JSON object from a URL."""
     async with aiohttp.ClientSession() as session, session.get(url) as response:
-        found: dict[str, float] = await response.json()
-        return found
+        content: dict[str, float] = await response.json()
+        return content
 
 
 async def post(url: str) -> None:
--- a/src/crowsill_lab/bench/entry.py
+++ b/src/crowsill_lab/bench/entry.py
@@ -93,7 +93,7 @@
 async def _drive(
     site: Site, rate: float, seconds: float, tokens: int, both: bool
 ) -> tuple[_Samples, _Samples, float]:
-    engines = [machine.address for machine in site.replicas if machine.memory_mib]
+    engines = [replica.address for replica in site.replicas if replica.memory_mib]
     entry = next(iter(site.entries.values()))
     process = site.processes["entry-0"]
     direct, via_entry = _Samples(), _Samples()
--- a/src/crowsill_lab/bench/kills.py
+++ b/src/crowsill_lab/bench/kills.py
@@ -91,9 +91,9 @@
     stopping: bool = False
 
 
-async def _claim_worker(run: _KillRun, client: LeaderClient, source: random.Random) -> None:
+async def _claim_worker(run: _KillRun, client: LeaderClient, random_source: random.Random) -> None:
     while not run.stopping:
-        key, attempt = f"key-{source.randrange(KEYS)}", uuid.uuid4().hex
+        key, attempt = f"key-{random_source.randrange(KEYS)}", uuid.uuid4().hex
         reply = await client.submit(open_claim(key, attempt), monotonic_s() + COMMIT_TIMEOUT_S)
         if isinstance(reply, Success):
             run.claims += 1
@@ -141,9 +141,9 @@
         await asyncio.sleep(0.05)
 
 
-async def _kill_once(site: Site, source: random.Random) -> _Kill:
+async def _kill_once(site: Site, random_source: random.Random) -> _Kill:
     """Kill and restart one member; wait for full replication first in half of the cases."""
-    if source.random() < 0.5:
+    if random_source.random() < 0.5:
         await _wait_until_fully_replicated(site)
     was_fully_replicated = await _is_fully_replicated(site)
     names = [name for name in site.processes if name.startswith("control-")]
@@ -155,14 +155,14 @@
             continue
         if status.role == "leader":
             leader = status.node
-    name = leader if leader and source.random() < 0.5 else source.choice(names)
+    name = leader if leader and random_source.random() < 0.5 else random_source.choice(names)
     process = site.processes[name]
     process.send(signal.SIGKILL)
     killed_s = time.monotonic()
     await asyncio.to_thread(process.wait)
-    await asyncio.sleep(source.uniform(0.0, 0.6))
+    await asyncio.sleep(random_source.uniform(0.0, 0.6))
     process.start()
-    await asyncio.sleep(source.uniform(0.8, 1.6))
+    await asyncio.sleep(random_source.uniform(0.8, 1.6))
     return _Kill(name == leader, was_fully_replicated, killed_s)
 
 
@@ -170,18 +170,18 @@
     """Wait until all members have the same applied index; return whether their states are equal."""
     for _ in range(200):
         try:
-            found = await statuses(site)
+            member_statuses = await statuses(site)
         except RuntimeError:
             await asyncio.sleep(0.2)
             continue
-        if len({status.applied_index for status in found}) == 1:
-            return len({status.state_digest for status in found}) == 1
+        if len({status.applied_index for status in member_statuses}) == 1:
+            return len({status.state_digest for status in member_statuses}) == 1
         await asyncio.sleep(0.2)
     return False
 
 
 async def _kills(site: Site, kills: int, seed: int) -> KillFigures:
-    source = random.Random(seed)
+    random_source = random.Random(seed)
     run = _KillRun()
     clients = [leader_client(site, f"bench-{index}") for index in range(4)]
     workers = [
@@ -189,7 +189,7 @@
         for index, client in enumerate(clients)
     ]
     workers += [asyncio.create_task(_change_worker(run, clients[0], name)) for name in ("a", "b")]
-    past_kills = [await _kill_once(site, source) for _ in range(kills)]
+    past_kills = [await _kill_once(site, random_source) for _ in range(kills)]
     await _wait_until_fully_replicated(site)
     run.stopping = True
     await asyncio.gather(*workers)
@@ -199,7 +199,7 @@
     lost_revisions = [
         revision for revision, name in run.changes.items() if recorded.get(revision) != name
     ]
-    gaps_s = _gaps_s(
+    full_gaps_s = _gaps_s(
         run, [kill for kill in past_kills if kill.was_leader and kill.was_fully_replicated]
     )
     degraded_gaps_s = _gaps_s(
@@ -209,15 +209,15 @@
         client.close()
     return KillFigures(
         kills=kills,
-        leader_kills=len(gaps_s),
+        leader_kills=len(full_gaps_s),
         leader_kills_not_whole=len(degraded_gaps_s),
         claims=run.claims,
         granted_twice=sum(len(attempts) > 1 for attempts in run.grants.values()),
         changes=len(run.changes),
         changes_lost=len(lost_revisions),
         states_equal=equal,
-        gap_p50_s=_quantile(gaps_s, 0.5),
-        gap_p99_s=_quantile(gaps_s, 0.99),
+        gap_p50_s=_quantile(full_gaps_s, 0.5),
+        gap_p99_s=_quantile(full_gaps_s, 0.99),
         gap_not_whole_p50_s=_quantile(degraded_gaps_s, 0.5),
         gap_not_whole_max_s=_quantile(degraded_gaps_s, 1.0),
     )
@@ -225,13 +225,13 @@
 
 def _gaps_s(run: _KillRun, kills: list[_Kill]) -> list[float]:
     """Return the time from each kill to the next commit seen by a client, in seconds, sorted."""
-    found = []
+    gaps_s = []
     for kill in kills:
         later_commits_s = [
             commit_s for commit_s in run.commits_s if commit_s > kill.killed_s + MAX_REPLY_DELAY_S
         ]
-        found.append(min(later_commits_s) - kill.killed_s)
-    return sorted(found)
+        gaps_s.append(min(later_commits_s) - kill.killed_s)
+    return sorted(gaps_s)
 
 
 def _quantile(ordered: list[float], quantile: float) -> float:
--- a/src/crowsill_lab/bench/overload.py
+++ b/src/crowsill_lab/bench/overload.py
@@ -69,7 +69,7 @@
     amplification: float
 
 
-async def _urgent_beside(
+async def _urgent_during_burst(
     entries: list[str], burst_service: str | None, seconds: float
 ) -> tuple[CallResults, CallResults]:
     burst = CallResults()
@@ -90,9 +90,9 @@
     site = start_site(deployment, folder)
     entries = list(site.entries.values())
     try:
-        idle, _ = asyncio.run(_urgent_beside(entries, None, seconds))
-        urgent, patient = asyncio.run(_urgent_beside(entries, "archive", seconds))
-        same_class, _ = asyncio.run(_urgent_beside(entries, "desk", seconds))
+        idle, _ = asyncio.run(_urgent_during_burst(entries, None, seconds))
+        urgent, patient = asyncio.run(_urgent_during_burst(entries, "archive", seconds))
+        same_class, _ = asyncio.run(_urgent_during_burst(entries, "desk", seconds))
     finally:
         site.stop()
     return OverloadFigures(
@@ -111,11 +111,11 @@
     )
 
 
-async def _retries(site: Site, seconds: float) -> RetryFigures:
+async def _measure_retries(site: Site, seconds: float) -> RetryFigures:
     entries = list(site.entries.values())
-    services = [machine for machine in site.replicas if not machine.memory_mib]
-    for machine in services[: RETRY_REPLICAS // 3]:
-        await post(f"http://{machine.address}/lab/failing/1.0")
+    services = [replica for replica in site.replicas if not replica.memory_mib]
+    for replica in services[: RETRY_REPLICAS // 3]:
+        await post(f"http://{replica.address}/lab/failing/1.0")
     before = sum([await metric_total(entry, UPSTREAM_METRIC) for entry in entries])
     results = await drive_calls(entries, "desk", RETRY_RATE_PER_S, seconds)
     after = sum([await metric_total(entry, UPSTREAM_METRIC) for entry in entries])
@@ -129,6 +129,6 @@
     deployment = bench_deployment(2, 1, EngineShape("engines", 10000, 8, ["z1"]), shape)
     site = start_site(deployment, folder)
     try:
-        return asyncio.run(_retries(site, seconds))
+        return asyncio.run(_measure_retries(site, seconds))
     finally:
         site.stop()
--- a/src/crowsill_lab/bench/planner.py
+++ b/src/crowsill_lab/bench/planner.py
@@ -45,14 +45,14 @@
 
 
 def _resources(models: int) -> dict[str, ResourceSpec]:
-    found: dict[str, ResourceSpec] = {}
+    specs: dict[str, ResourceSpec] = {}
     for number in range(models):
         name = f"m{number}"
-        found[name] = ResourceSpec(name, name, "p", 20_000 + 500 * (number % 40), 0.5, 2)
+        specs[name] = ResourceSpec(name, name, "p", 20_000 + 500 * (number % 40), 0.5, 2)
         for adapter in range(ADAPTERS_PER_MODEL):
             full_name = f"{name}:a{adapter}"
-            found[full_name] = ResourceSpec(full_name, name, "p", 256, 0.5, 2)
-    return found
+            specs[full_name] = ResourceSpec(full_name, name, "p", 256, 0.5, 2)
+    return specs
 
 
 def _input(
@@ -69,9 +69,9 @@
 def run_planner_bench(replicas: int) -> PlannerFigures:
     """Plan from an empty fleet until a step plans no orders."""
     models = min(MODELS, replicas * 5)
-    source = random.Random(1)
+    random_source = random.Random(1)
     engines, resources = _engines(replicas), _resources(models)
-    demand = {name: source.expovariate(0.2) for name in resources}
+    demand = {name: random_source.expovariate(0.2) for name in resources}
     steps_ms: list[float] = []
     orders = 0
     for _ in range(MAX_STEPS):
--- a/src/crowsill_lab/bench/stops.py
+++ b/src/crowsill_lab/bench/stops.py
@@ -104,8 +104,8 @@
 
 
 async def _last_new_work_s(site: Site, replica_id: str, since_s: float) -> float:
-    machine = next(item for item in site.replicas if item.replica_id == replica_id)
-    counters = await fetch_json(f"http://{machine.address}/lab/counters")
+    replica = next(item for item in site.replicas if item.replica_id == replica_id)
+    counters = await fetch_json(f"http://{replica.address}/lab/counters")
     return round(counters["last_new_work_s"] - since_s, 2)
 
 
@@ -125,9 +125,9 @@
     result = await load
     prober.cancel()
     executions: dict[str, float] = {}
-    for machine in site.replicas:
-        if not machine.memory_mib:
-            replica_executions = await fetch_json(f"http://{machine.address}/lab/executions")
+    for replica in site.replicas:
+        if not replica.memory_mib:
+            replica_executions = await fetch_json(f"http://{replica.address}/lab/executions")
             for key, count in replica_executions.items():
                 executions[key] = executions.get(key, 0) + count
     tallies: list[Tally] = list(result.tallies.values())
