--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Common test settings: fixed hypothesis seeds, and the tests that are known to be red.
+"""Common test settings: fixed hypothesis seeds, and tests that are expected to fail.
 
-KNOWN-RED.txt lists a test a line as `node id | cause | issue`. A listed test is run and printed;
-its failure does not count, and its success is an error, so that the list stays short. One whose
-cause begins with `sometimes` fails in a part of its runs, so that its success is none.
+Each line of KNOWN-RED.txt lists a test as `node id | cause | issue`. A listed test is run and
+printed. Its failure does not fail the run, but its success does, so that the list is kept up to
+date. A cause that begins with `sometimes` marks a flaky test, which may also succeed.
 """
 
 from pathlib import Path
@@ -16,23 +16,23 @@
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def known_red(text):
-    """Return the listed tests with their causes."""
-    listed = {}
+def parse_known_red(text):
+    """Return the causes of the listed tests by node id."""
+    causes = {}
     for line in text.splitlines():
         if line.strip() and not line.startswith("#"):
-            node, _, why = line.partition("|")
-            listed[node.strip()] = why.strip()
-    return listed
+            node, _, cause = line.partition("|")
+            causes[node.strip()] = cause.strip()
+    return causes
 
 
-def known_red_marker(why):
-    """Return the marker of a listed test; it may succeed only if it fails sometimes."""
-    return pytest.mark.xfail(reason=why, strict=not why.startswith("sometimes"))
+def known_red_marker(cause):
+    """Return the `xfail` marker of a listed test; it is strict unless the test is flaky."""
+    return pytest.mark.xfail(reason=cause, strict=not cause.startswith("sometimes"))
 
 
 def pytest_collection_modifyitems(items):
-    listed = known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else {}
+    causes = parse_known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else {}
     for item in items:
-        if item.nodeid in listed:
-            item.add_marker(known_red_marker(listed[item.nodeid]))
+        if item.nodeid in causes:
+            item.add_marker(known_red_marker(causes[item.nodeid]))
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""Settings of deployments of other sizes, and settings that cannot be used."""
+"""Platform settings of deployments of several sizes, and invalid settings."""
 
 import sys
 
@@ -46,13 +46,13 @@
 """
 
 
-def written(tmp_path, text):
+def load_text(tmp_path, text):
     path = tmp_path / "boot.toml"
     path.write_text(text)
     return load(path)
 
 
-def core(**changes):
+def core_settings(**changes):
     values = {"node": "core-1", "zone": "z", "seeds": '["10.1.0.40:8144"]', "extra": ""}
     return CORE.format(**{**values, "machines": 2, **changes})
 
@@ -66,8 +66,8 @@
         ({"node": "Core_1", "zone": "Hall A/4", "machines": 2}, 5, 1),
     ],
 )
-def test_control_members_of_any_size(tmp_path, changes, voters, seeds):
-    loaded = written(tmp_path, core(**changes))
+def test_control_settings_of_groups_of_any_size(tmp_path, changes, voters, seeds):
+    loaded = load_text(tmp_path, core_settings(**changes))
     assert isinstance(loaded, Success), loaded
     control = loaded.unwrap().control
     assert control.target_voters == voters
@@ -75,29 +75,29 @@
     assert control.bootstrap and loaded.unwrap().gateway is None
 
 
-def test_gateways_take_their_bounds_from_the_platform(tmp_path):
-    gateway = written(tmp_path, FRONT).unwrap().gateway
+def test_gateway_settings_are_read_from_the_platforms_bounds(tmp_path):
+    gateway = load_text(tmp_path, FRONT).unwrap().gateway
     assert (gateway.grace_s, gateway.retry_ratio, gateway.retry_allowance) == (3.5, 0.05, 7.0)
     assert gateway.retry_window_s == 10.0
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
-        (core(seeds='["10.1.0.40"]'), "seeds[0]"),
-        (core(seeds='["core.example:1"]'), "core.example"),
-        (core().replace("innerPorts = [7380, 7395]", "innerPorts = []"), "innerPorts"),
-        (core().replace('ip = "10.1.0.40"', ""), "ip"),
-        (core().replace("[listen]", "[listen"), "boot.toml"),
+        (core_settings(seeds='["10.1.0.40"]'), "seeds[0]"),
+        (core_settings(seeds='["core.example:1"]'), "core.example"),
+        (core_settings().replace("innerPorts = [7380, 7395]", "innerPorts = []"), "innerPorts"),
+        (core_settings().replace('ip = "10.1.0.40"', ""), "ip"),
+        (core_settings().replace("[listen]", "[listen"), "boot.toml"),
         (FRONT.replace('ready = "10.1.0.38:8141"', ""), "listen.ready"),
     ],
 )
-def test_what_cannot_be_used_is_named(tmp_path, text, named):
-    loaded = written(tmp_path, text)
-    assert not isinstance(loaded, Success) and named in loaded.failure()
+def test_errors_name_the_invalid_field(tmp_path, text, expected):
+    loaded = load_text(tmp_path, text)
+    assert not isinstance(loaded, Success) and expected in loaded.failure()
 
 
-def test_fields_not_known_here_are_passed_over_in_documents():
+def test_unknown_fields_of_documents_are_ignored():
     content = (
         b'{"version":4,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"idempotent",'
         b'"timeoutMs":1.5,"service":"s","new":{}}],"services":[{"name":"s","tls":false}],"more":1}'
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -27,13 +27,13 @@
 }
 
 
-def read(*tenants, **changes):
+def decode_tenants(*tenants, **changes):
     document = configuration(3, tenants=list(tenants), **changes)
     return decode_and_check(PlatformRouteCodec(), json.dumps(document).encode())
 
 
-def test_a_tenant_is_read_and_no_key_stays_in_it():
-    found = read(ENTRY).unwrap()
+def test_a_decoded_tenant_contains_hashes_instead_of_keys():
+    found = decode_tenants(ENTRY).unwrap()
     (tenant,) = found.tenants
     assert tenant.key_sha256[0] == hashlib.sha256(b"first-key").hexdigest()
     assert (tenant.rank, tenant.rate_per_s, tenant.burst) == (1, 166254.0, 1000.0)
@@ -41,15 +41,18 @@
     assert b"first-key" not in msgspec.json.encode(found)
 
 
-def test_what_is_left_out_means_requests_without_a_limit():
-    (tenant,) = read({"name": "t", "apiKeys": []}).unwrap().tenants
+def test_defaults_are_requests_without_a_rate_limit():
+    (tenant,) = decode_tenants({"name": "t", "apiKeys": []}).unwrap().tenants
     assert not tenant.is_limited and tenant.unit is RateUnit.REQUESTS and tenant.rank is None
 
 
-def test_a_route_says_whether_it_is_public():
+def test_the_public_flag_of_routes_is_decoded():
     routes = configuration(3)["routes"]
     routes[0]["public"] = True
-    assert [route.public for route in read(ENTRY, routes=routes).unwrap().routes] == [True, False]
+    assert [route.public for route in decode_tenants(ENTRY, routes=routes).unwrap().routes] == [
+        True,
+        False,
+    ]
 
 
 @pytest.mark.parametrize(
@@ -66,7 +69,7 @@
         [{**ENTRY, "priority": -1}],
     ],
 )
-def test_invalid_tenants_are_refused_without_naming_a_key(tenants):
-    refused = read(*tenants)
-    assert not isinstance(refused, Success)
-    assert "second-key" not in refused.failure()
+def test_rejections_of_invalid_tenants_contain_no_key(tenants):
+    decoded = decode_tenants(*tenants)
+    assert not isinstance(decoded, Success)
+    assert "second-key" not in decoded.failure()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,11 +1,11 @@
-"""Bad settings."""
+"""Validation of the settings file."""
 
 import pytest
 from returns.result import Success
 
 from crowsill.settings import parse_settings
 
-GOOD = """
+VALID = """
 node = "e1"
 zone = "z1"
 cluster_key_file = "key"
@@ -15,8 +15,8 @@
 """
 
 
-def test_good_settings():
-    assert isinstance(parse_settings(GOOD, "f"), Success)
+def test_valid_settings_are_accepted():
+    assert isinstance(parse_settings(VALID, "f"), Success)
 
 
 @pytest.mark.parametrize(
@@ -34,11 +34,11 @@
         ('"e1"', '"E 1"', "$.node"),
     ],
 )
-def test_a_fault_names_file_key_and_reason(old, new, message):
-    found = parse_settings(GOOD.replace(old, new), "crowsilld.toml")
+def test_an_error_contains_file_key_and_reason(old, new, message):
+    found = parse_settings(VALID.replace(old, new), "crowsilld.toml")
     assert "crowsilld.toml" in found.failure() and message in found.failure()
 
 
-def test_a_role_is_needed():
+def test_at_least_one_role_is_required():
     text = 'node = "a"\nzone = "z"\ncluster_key_file = "k"\n'
     assert "[control]" in parse_settings(text, "f").failure()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,8 +1,8 @@
-"""A machine is suspended for seconds; the steady clock of the system does not count that time.
+"""Deadlines of requests when the machine of a gateway is suspended for seconds.
 
-A request that was held while its gateway's machine slept for 2 s was passed on with
-"crowsill-deadline-ms" telling all that the steady clock had left, 2 s more than its caller would
-wait. Here the clock that also counts a suspension jumps, and the steady one does not.
+`time.monotonic` stops during a suspension. A request that waited across a suspension of 2 s was
+forwarded with a "crowsill-deadline-ms" 2 s longer than its caller waits. Here the clock that
+includes suspensions jumps, and `time.monotonic` does not.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from tests.gateway_world import NAMES, respond_ok, world
 
 DEADLINE = NAMES.deadline.decode()
-ASLEEP_S = 2.0
+SUSPENSION_S = 2.0
 
 
 def run(scenario):
@@ -20,54 +20,54 @@
         runner.run(asyncio.wait_for(scenario, 30))
 
 
-def sleep_for(monkeypatch, seconds):
-    """Suspend the machine, as far as clocks tell."""
+def simulate_suspension(monkeypatch, seconds):
+    """Advance the clock that includes suspensions."""
     monkeypatch.setattr(event_loop, "monotonic_s", lambda: clock.monotonic_s() + seconds)
 
 
-def test_the_loop_of_a_daemon_counts_a_suspension(monkeypatch):
+def test_the_clock_of_the_event_loop_includes_a_suspension(monkeypatch):
     async def scenario():
         loop = asyncio.get_running_loop()
         before_s = loop.time()
-        sleep_for(monkeypatch, ASLEEP_S)
-        assert loop.time() - before_s >= ASLEEP_S
+        simulate_suspension(monkeypatch, SUSPENSION_S)
+        assert loop.time() - before_s >= SUSPENSION_S
 
     run(scenario())
 
 
-def test_a_request_held_across_a_suspension_gets_no_more_time_than_is_left(monkeypatch):
+def test_the_deadline_of_a_waiting_request_includes_a_suspension(monkeypatch):
     async def scenario():
-        async with world(respond_ok) as played:
-            known = [record.instance for record in played.role.registry.of_service("plain")]
-            played.adopt([])
-            caller = await played.caller()
+        async with world(respond_ok) as here:
+            known = [record.instance for record in here.role.registry.of_service("plain")]
+            here.adopt([])
+            caller = await here.caller()
             caller.send("safe", "r1", headers=["crowsill-deadline-ms: 2800"])
             await asyncio.sleep(0.1)
-            sleep_for(monkeypatch, ASLEEP_S)
-            played.adopt(known)
+            simulate_suspension(monkeypatch, SUSPENSION_S)
+            here.adopt(known)
             status, _ = await caller.head()
             if status == 200:
-                (_, headers, _) = played._replicas[0].requests[0]
+                (_, headers, _) = here._replicas[0].requests[0]
                 assert float(headers[DEADLINE]) <= 800
             else:
-                assert played._replicas[0].requests == []
+                assert here._replicas[0].requests == []
 
     run(scenario())
 
 
-def test_a_request_whose_time_ended_during_a_suspension_is_sent_nowhere(monkeypatch):
+def test_a_request_that_expires_during_a_suspension_is_not_sent(monkeypatch):
     async def scenario():
-        async with world(respond_ok) as played:
-            known = [record.instance for record in played.role.registry.of_service("plain")]
-            played.adopt([])
-            caller = await played.caller()
+        async with world(respond_ok) as here:
+            known = [record.instance for record in here.role.registry.of_service("plain")]
+            here.adopt([])
+            caller = await here.caller()
             caller.send("safe", "r1", headers=["crowsill-deadline-ms: 1500"])
             await asyncio.sleep(0.1)
-            sleep_for(monkeypatch, ASLEEP_S)
+            simulate_suspension(monkeypatch, SUSPENSION_S)
             await asyncio.sleep(0.0)
-            played.adopt(known)
+            here.adopt(known)
             status, _ = await caller.head()
             assert status in (502, 503, 504)
-            assert played._replicas[0].requests == []
+            assert here._replicas[0].requests == []
 
     run(scenario())
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""From the id of a request to its cause."""
+"""The command `crowsill trace`: from the id of a request to the events that explain its result."""
 
 from typer.testing import CliRunner
 
@@ -14,7 +14,7 @@
 """
 
 
-def test_a_request_is_shown_with_what_decided_it(tmp_path):
+def test_a_trace_contains_the_decisions_about_the_request(tmp_path):
     log = tmp_path / "log"
     log.write_text(LOG)
     shown = CliRunner().invoke(application, ["trace", "r1", str(log)])
@@ -26,14 +26,14 @@
     )
 
 
-def test_unknown_requests_and_files_are_said_so(tmp_path):
+def test_unknown_requests_and_missing_files_are_errors(tmp_path):
     log = tmp_path / "log"
     log.write_text(LOG)
     assert CliRunner().invoke(application, ["trace", "r9", str(log)]).exit_code == 1
     assert CliRunner().invoke(application, ["trace", "r1", str(tmp_path / "no")]).exit_code == 1
 
 
-RESTS = """
+BACKOFF_LOG = """
 2026-01-02T03:04:00.000Z INFO E211 replica_rests replica=i-1 status=503 rest_s=2.0 request=r0 node=g
 2026-01-02T03:04:00.100Z INFO E211 replica_rests replica=i-2 status=503 rest_s=2.0 request=r0 node=g
 2026-01-02T03:04:01.000Z INFO E201 request_refused request=r1 kind=overloaded \
@@ -41,8 +41,8 @@
 """
 
 
-def test_a_request_that_was_sent_nowhere_is_shown_with_the_word_of_the_replica_that_rests(tmp_path):
+def test_the_trace_of_an_unsent_request_shows_the_replica_that_is_backing_off(tmp_path):
     log = tmp_path / "log"
-    log.write_text(RESTS)
+    log.write_text(BACKOFF_LOG)
     shown = CliRunner().invoke(application, ["trace", "r1", str(log)]).output
     assert "E211 replica_rests replica=i-1" in shown and "replica=i-2" not in shown
