--- a/src/crowsill_lab/main.py
+++ b/src/crowsill_lab/main.py
@@ -113,7 +113,7 @@
     """Run the real programs under external faults and check all guarantees, for each seed."""
     from crowsill_lab.soak.runner import SoakPlan, run_soak
 
-    broken = 0
+    failed_seeds = 0
     for number in range(seed, seed + seeds):
         run_folder = folder / str(number)
         if run_folder.exists() and any(run_folder.iterdir()):
@@ -124,9 +124,9 @@
         )
         report = run_soak(plan)
         typer.echo(report.text())
-        broken += bool(report.violations)
-    typer.echo(f"{seeds} seeds, {broken} with broken promises")
-    raise typer.Exit(1 if broken else 0)
+        failed_seeds += bool(report.violations)
+    typer.echo(f"{seeds} seeds, {failed_seeds} with violated guarantees")
+    raise typer.Exit(1 if failed_seeds else 0)
 
 
 @application.command()
--- a/src/crowsill_lab/soak/caller.py
+++ b/src/crowsill_lab/soak/caller.py
@@ -55,7 +55,7 @@
     }
     run = gateway.current_run()
     ledger.sent[request_id] = SentRequest(key, time.monotonic(), run)
-    url = f"http://{gateway.host}:{gateway.callers}{path}"
+    url = f"http://{gateway.host}:{gateway.caller_port}{path}"
     try:
         async with session.post(url, data=body, headers=headers) as response:
             replica = response.headers.get(NAMES.stamp.decode(), "")
--- a/src/crowsill_lab/soak/control_calls.py
+++ b/src/crowsill_lab/soak/control_calls.py
@@ -9,7 +9,7 @@
 
 async def put(member: Member, path: str, body: bytes) -> int:
     """PUT a document to a member; return the status, or 0 without a response."""
-    url = f"http://{member.host}:{member.registrations}{path}"
+    url = f"http://{member.host}:{member.registration_port}{path}"
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
     try:
         async with (
--- a/src/crowsill_lab/soak/crashing_request.py
+++ b/src/crowsill_lab/soak/crashing_request.py
@@ -47,7 +47,7 @@
             NAMES.request_id.decode(): secrets.token_hex(8),
             "Authorization": f"Bearer {STEADY_KEY.key}",
         }
-        url = f"http://{gateway.host}:{gateway.callers}{path}"
+        url = f"http://{gateway.host}:{gateway.caller_port}{path}"
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
             async with session.post(url, data=self._body, headers=headers) as response:
                 await response.read()
--- a/src/crowsill_lab/soak/losses.py
+++ b/src/crowsill_lab/soak/losses.py
@@ -70,8 +70,8 @@
         lost = random.sample(site.with_disks(), disks)
         if changes_seeds:
             # Prefer processes without data: those with lost disks, then those without a disk.
-            pointers = [member for member in site.members if not member.has_disk]
-            site.seeds = [*lost, *pointers, *site.with_disks()][:SEEDS]
+            redirectors = [member for member in site.members if not member.has_disk]
+            site.seeds = [*lost, *redirectors, *site.with_disks()][:SEEDS]
         names = ",".join(member.name for member in lost)
         seeds = ",".join(seed.name for seed in site.seeds)
         self._note(f"lose power, disks of [{names}], seeds {seeds}")
@@ -125,12 +125,12 @@
     async def _is_complete(self) -> bool:
         expected_voters = 2 * self._site.tolerated_losses + 1
         for member in self._site.with_disks():
-            target = Address(member.host, member.listen)
-            question = MembersRequest(MemberAction.LIST)
-            _, reply = await query_leader(target, question, self._local, RESPONSE_TIMEOUT_S)
-            if isinstance(reply, MembersReport):
-                voters = [item for item in reply.members if item.voter]
-                return reply.is_fully_replicated and len(voters) == expected_voters
+            target = Address(member.host, member.listen_port)
+            query = MembersRequest(MemberAction.LIST)
+            _, response = await query_leader(target, query, self._local, RESPONSE_TIMEOUT_S)
+            if isinstance(response, MembersReport):
+                voters = [item for item in response.members if item.voter]
+                return response.is_fully_replicated and len(voters) == expected_voters
         return False
 
 
--- a/src/crowsill_lab/soak/runner.py
+++ b/src/crowsill_lab/soak/runner.py
@@ -39,8 +39,9 @@
         members: Number of control members.
         gateways: Number of gateways.
         folder: Folder of the settings, data and logs.
-        pointers: Number of control processes without a disk. If it isn't 0, the group forms itself
-            from seeds, and disks, machines, seeds and the power of all machines are lost as well.
+        redirectors: Number of control processes without a disk. If it isn't 0, the group forms
+            itself from seeds, and disks, machines, seeds and the power of all machines are lost as
+            well.
         has_signals: Whether replicas also shed requests, request backoffs, and drain by responses.
         has_limits: Whether replicas also advertise rate limits in their responses.
     """
@@ -50,7 +51,7 @@
     members: int
     gateways: int
     folder: Path
-    pointers: int = 0
+    redirectors: int = 0
     has_signals: bool = False
     has_limits: bool = False
 
@@ -81,7 +82,7 @@
         lines = [
             f"seed {self.seed}: {len(self.faults)} faults, newest version {self.versions}",
             f"  faults: {'; '.join(self.faults)}",
-            f"  answers: {statuses}",
+            f"  responses: {statuses}",
             *(f"  BROKEN {line}" for line in self.violations),
         ]
         return "\n".join(lines)
@@ -202,8 +203,8 @@
 
 
 def _site_of(plan: SoakPlan) -> SoakSite | SeededSite:
-    if plan.pointers:
-        return SeededSite(plan.folder, plan.members, plan.gateways, plan.pointers)
+    if plan.redirectors:
+        return SeededSite(plan.folder, plan.members, plan.gateways, plan.redirectors)
     return SoakSite(plan.folder, plan.members, plan.gateways)
 
 
--- a/src/crowsill_lab/soak/seeded_site.py
+++ b/src/crowsill_lab/soak/seeded_site.py
@@ -1,7 +1,7 @@
 """The site of a soak that loses machines, disks and seeds: a group that forms by itself.
 
 Each machine has its own address, and all use the same ports, because a process without a disk
-redirects callers to the same port of another host. The group forms from the first seeds and
+redirects callers to the same port of the leader's host. The group forms from the first seeds and
 repairs itself.
 """
 
@@ -32,8 +32,8 @@
     def __init__(self, name: str, host: str, ports: list[int], has_disk: bool) -> None:
         self.name = name
         self.host = host
-        self.listen, self.registrations = ports
-        self.peer = self.listen
+        self.listen_port, self.registration_port = ports
+        self.peer_port = self.listen_port
         self.relay = None
         self.process: ManagedProcess | None = None
         self.has_disk = has_disk
@@ -50,14 +50,14 @@
         tolerated_losses: Number of disks that may be lost at the same time.
     """
 
-    def __init__(self, folder: Path, members: int, gateways: int, pointers: int) -> None:
+    def __init__(self, folder: Path, members: int, gateways: int, redirectors: int) -> None:
         self._folder = folder
         self._ports = free_ports(4)
         self._machines = 0
         self._started: list[ManagedProcess] = []
         self.tolerated_losses = (members - 1) // 2
         self.members = [self._new_member(has_disk=True) for _ in range(members)]
-        self.members += [self._new_member(has_disk=False) for _ in range(pointers)]
+        self.members += [self._new_member(has_disk=False) for _ in range(redirectors)]
         self.gateways = [self._new_gateway(number) for number in range(gateways)]
         self.seeds = self.members[:SEEDS]
 
@@ -73,7 +73,7 @@
     def _new_gateway(self, number: int) -> Gateway:
         gateway = Gateway(number)
         gateway.host = self._new_host()
-        gateway.callers, gateway.ready = self._ports[2:]
+        gateway.caller_port, gateway.readiness_port = self._ports[2:]
         return gateway
 
     def with_disks(self) -> list[SeededMember]:
@@ -90,7 +90,7 @@
             gateway.process = self._start(gateway.name)
             gateway.starts = 1
         for member in self.members:
-            wait_for_port(member.registrations, START_TIMEOUT_S, member.host)
+            wait_for_port(member.registration_port, START_TIMEOUT_S, member.host)
         for member in self.members:
             member.bootstraps = False
 
@@ -114,7 +114,7 @@
         part.replace(path)
 
     def _seed_addresses(self) -> str:
-        return ", ".join(_address(seed.host, seed.listen) for seed in self.seeds)
+        return ", ".join(_address(seed.host, seed.listen_port) for seed in self.seeds)
 
     def _member_settings(self, member: SeededMember) -> str:
         data_folder = str(self._folder / member.name) if member.has_disk else ""
@@ -123,8 +123,8 @@
             'zone = "z"',
             "[control]",
             f"data_folder = {json.dumps(data_folder)}",
-            f"listen = {_address(member.host, member.listen)}",
-            f"registrations = {_address(member.host, member.registrations)}",
+            f"listen = {_address(member.host, member.listen_port)}",
+            f"registrations = {_address(member.host, member.registration_port)}",
             f"seeds = [{self._seed_addresses()}]",
             f"bootstrap = {json.dumps(member.bootstraps)}",
             f"tolerated_losses = {self.tolerated_losses}",
@@ -137,8 +137,8 @@
             f'node = "{gateway.name}"',
             'zone = "z"',
             "[gateway]",
-            f"callers = {_address(gateway.host, gateway.callers)}",
-            f"ready = {_address(gateway.host, gateway.ready)}",
+            f"callers = {_address(gateway.host, gateway.caller_port)}",
+            f"ready = {_address(gateway.host, gateway.readiness_port)}",
             f"control_seeds = [{self._seed_addresses()}]",
             f"grace_s = {DRAIN_GRACE_S}",
             f"readiness_lag_s = {READINESS_LAG_S}",
--- a/src/crowsill_lab/soak/signal_ledger.py
+++ b/src/crowsill_lab/soak/signal_ledger.py
@@ -29,14 +29,14 @@
 class SignalLedger:
     """Backoffs and drains by replica incarnation and gateway run, on one monotonic clock.
 
-    >>> words, gateway = SignalLedger(), GatewayRun("g1", 1, 0)
-    >>> words.note_backoff("i-1@1", gateway, 3.0, now_s=10.0)
-    >>> [words.check_arrival("i-1@1", gateway, now_s, now_s) for now_s in (10.4, 11.0, 13.1)]
+    >>> signals, gateway = SignalLedger(), GatewayRun("g1", 1, 0)
+    >>> signals.note_backoff("i-1@1", gateway, 3.0, now_s=10.0)
+    >>> [signals.check_arrival("i-1@1", gateway, now_s, now_s) for now_s in (10.4, 11.0, 13.1)]
     [None, 'i-1@1 received a request of g1 1.00 s into a backoff of 3.00 s', None]
-    >>> words.check_arrival("i-1@1", GatewayRun("g1", 2, 0), 11.0, 11.0)
-    >>> words.note_drain_reported("i-1@1", gateway, now_s=20.0)
-    >>> words.check_arrival("i-1@1", gateway, sent_at_s=20.9, now_s=22.0)
-    >>> words.check_arrival("i-1@1", gateway, sent_at_s=21.5, now_s=22.0)
+    >>> signals.check_arrival("i-1@1", GatewayRun("g1", 2, 0), 11.0, 11.0)
+    >>> signals.note_drain_reported("i-1@1", gateway, now_s=20.0)
+    >>> signals.check_arrival("i-1@1", gateway, sent_at_s=20.9, now_s=22.0)
+    >>> signals.check_arrival("i-1@1", gateway, sent_at_s=21.5, now_s=22.0)
     'i-1@1 received a request of g1 1.50 s after g1 reported that it drains'
     """
 
--- a/src/crowsill_lab/soak/site.py
+++ b/src/crowsill_lab/soak/site.py
@@ -24,28 +24,31 @@
     Attributes:
         host: IP address.
         relay: Relay through which other processes reach the member, or None.
-        registrations: Port for replicas and operators.
+        listen_port: Port on which the member listens for other crowsill processes.
+        peer_port: Port at which those processes reach it, which may be that of the relay.
+        registration_port: Port for replicas and operators.
     """
 
     def __init__(self, number: int) -> None:
         self.name = f"m{number}"
         self.host = HOST
-        self.listen, self.peer, self.registrations = free_ports(3)
+        self.listen_port, self.peer_port, self.registration_port = free_ports(3)
         self.relay: SilencingRelay | None = SilencingRelay()
         self.process: ManagedProcess | None = None
 
     def settings(self, peers: list["Member"], folder: Path) -> str:
         """Return the settings file's text."""
         members = [
-            f'{{ name = "{peer.name}", host = "{HOST}", port = {peer.peer} }}' for peer in peers
+            f'{{ name = "{peer.name}", host = "{HOST}", port = {peer.peer_port} }}'
+            for peer in peers
         ]
         lines = [
             f'node = "{self.name}"',
             'zone = "z"',
             "[control]",
             f"data_folder = {json.dumps(str(folder / self.name))}",
-            f"listen = {_address(self.listen)}",
-            f"registrations = {_address(self.registrations)}",
+            f"listen = {_address(self.listen_port)}",
+            f"registrations = {_address(self.registration_port)}",
             f"initial_members = [{', '.join(members)}]",
             "replica_heartbeat_s = 0.5",
         ]
@@ -57,7 +60,8 @@
 
     Attributes:
         host: IP address.
-        callers: Port for callers.
+        caller_port: Port for callers.
+        readiness_port: Port for readiness probes.
         starts: Number of starts.
         interruptions: Counts the start and the end of each kill and pause. A request that
             overlaps one may end without a response.
@@ -66,7 +70,7 @@
     def __init__(self, number: int) -> None:
         self.name = f"g{number}"
         self.host = HOST
-        self.callers, self.ready = free_ports(2)
+        self.caller_port, self.readiness_port = free_ports(2)
         self.process: ManagedProcess | None = None
         self.starts = 0
         self.interruptions = 0
@@ -77,13 +81,13 @@
 
     def settings(self, members: list[Member]) -> str:
         """Return the settings file's text."""
-        seeds = ", ".join(_address(member.peer) for member in members)
+        seeds = ", ".join(_address(member.peer_port) for member in members)
         lines = [
             f'node = "{self.name}"',
             'zone = "z"',
             "[gateway]",
-            f"callers = {_address(self.callers)}",
-            f"ready = {_address(self.ready)}",
+            f"callers = {_address(self.caller_port)}",
+            f"ready = {_address(self.readiness_port)}",
             f"control_seeds = [{seeds}]",
             f"grace_s = {DRAIN_GRACE_S}",
             f"readiness_lag_s = {READINESS_LAG_S}",
@@ -104,14 +108,14 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         for member in self.members:
             if member.relay is not None:
-                await member.relay.listen(member.peer, member.listen)
+                await member.relay.listen(member.peer_port, member.listen_port)
             text = member.settings(self.members, self._folder)
             member.process = self._start(member.name, text)
         for gateway in self.gateways:
             gateway.process = self._start(gateway.name, gateway.settings(self.members))
             gateway.starts = 1
         for member in self.members:
-            wait_for_port(member.registrations, START_TIMEOUT_S)
+            wait_for_port(member.registration_port, START_TIMEOUT_S)
 
     def _start(self, name: str, settings: str) -> ManagedProcess:
         path = self._folder / f"{name}.toml"
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -11,13 +11,13 @@
 
 from tests.scenario import Scenario
 
-ACTIONS_A_RUN = 200
+ACTIONS_PER_RUN = 200
 
 
 def run(seed: int) -> int:
     """Do one run; return the number of simulated steps."""
     scenario = Scenario(3 if seed % 2 else 5, seed)
-    for _ in range(ACTIONS_A_RUN):
+    for _ in range(ACTIONS_PER_RUN):
         scenario.act()
     scenario.finish()
     return scenario.group.steps
--- a/tests/test_explain_day.py
+++ b/tests/test_explain_day.py
@@ -26,25 +26,25 @@
     return f"E202 request_finished request={request} route=r {log_fields}"
 
 
-def refused(request, kind, detail=""):
+def rejected(request, kind, detail=""):
     return f'E201 request_refused request={request} route=r kind={kind} detail="{detail}" ms=5'
 
 
 @pytest.mark.parametrize(
     ("texts", "cause"),
     [
-        ([refused("a", "no_replica", "no replica holds the model yet")], Cause.MODEL_MISSING),
-        ([refused("a", "overloaded", "every replica is full: status 503")], Cause.REPLICAS_FULL),
+        ([rejected("a", "no_replica", "no replica holds the model yet")], Cause.MODEL_MISSING),
+        ([rejected("a", "overloaded", "every replica is full: status 503")], Cause.REPLICAS_FULL),
         (
-            [refused("a", "overloaded", "every replica that could run it asked for rest: i-1")],
+            [rejected("a", "overloaded", "every replica that could run it asked for rest: i-1")],
             Cause.BACKING_OFF,
         ),
-        ([refused("a", "rate_limited")], Cause.TENANT_REJECTED),
-        ([refused("a", "quarantined", "replicas ended")], Cause.QUARANTINED),
-        ([refused("a", "overloaded", "not sent in time")], Cause.NOT_SENT),
-        ([routed("a"), refused("a", "deadline_exceeded", "no answer in time")], Cause.NO_RESPONSE),
-        ([routed("a"), refused("a", "answer_cut", "reset")], Cause.REPLICA_FAILED),
-        ([refused("a", "payload_too_large")], Cause.OTHER),
+        ([rejected("a", "rate_limited")], Cause.TENANT_REJECTED),
+        ([rejected("a", "quarantined", "replicas ended")], Cause.QUARANTINED),
+        ([rejected("a", "overloaded", "not sent in time")], Cause.NOT_SENT),
+        ([routed("a"), rejected("a", "deadline_exceeded", "no answer in time")], Cause.NO_RESPONSE),
+        ([routed("a"), rejected("a", "answer_cut", "reset")], Cause.REPLICA_FAILED),
+        ([rejected("a", "payload_too_large")], Cause.OTHER),
         (["E209 caller_left request=a"], Cause.CANCELLED_WAITING),
         ([routed("a"), "E209 caller_left request=a"], Cause.CANCELLED_RUNNING),
         ([routed("a", ms=700.0), finished("a")], Cause.LATE_WAITING),
@@ -71,8 +71,8 @@
         line(1, routed("a")),
         line(2, finished("a")),
         line(4, routed("b", "i-2")),
-        line(4, refused("b", "answer_cut")),
-        line(4, refused("c", "overloaded", "every replica is full: ")),
+        line(4, rejected("b", "answer_cut")),
+        line(4, rejected("c", "overloaded", "every replica is full: ")),
         "a broken line",
     ]
     losses = losses_of_texts(["\n".join(texts)])
@@ -88,8 +88,8 @@
 
 
 def rejected_with_retry_after(request, after_s):
-    refusal = refused(request, "overloaded", "every replica is full")
-    return f"{refusal} resource=m retry_after_s={after_s}"
+    rejection = rejected(request, "overloaded", "every replica is full")
+    return f"{rejection} resource=m retry_after_s={after_s}"
 
 
 def test_retry_after_is_compared_with_when_a_similar_request_was_served():
@@ -100,7 +100,7 @@
         line(4, routed("c")),
         line(4, finished("c")),
         line(5, rejected_with_retry_after("d", 1.0)),
-        line(5, refused("e", "unauthenticated")),
+        line(5, rejected("e", "unauthenticated")),
     ]
     found = return_times(read_tries(["\n".join(texts)]))
     assert [(item.cause, item.retry_after_s) for item in found] == [
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -60,7 +60,7 @@
     # The soak ends with a loss of all power, of two disks, and of all seeds that know the group.
     # The leader must contact the processes that do not know the group; without that, guarantees
     # were violated here.
-    plan = SoakPlan(LOSSES_SEED, SECONDS, members=5, gateways=3, folder=tmp_path, pointers=2)
+    plan = SoakPlan(LOSSES_SEED, SECONDS, members=5, gateways=3, folder=tmp_path, redirectors=2)
     report = run_soak(plan)
     assert report.violations == [], report.text()
     assert report.faults[-1].startswith("lose power, disks of [m")
