--- a/src/crowsill/cli/client.py
+++ b/src/crowsill/cli/client.py
@@ -48,19 +48,21 @@
     def __init__(self, settings: OperatorSettings) -> None:
         self.settings = settings
 
-    def get(self, path: str, kind: type[T]) -> Result[T, str]:
-        """Get a resource and decode it as `kind`; the failure describes the error."""
-        return self._request("GET", path, None, kind)
+    def get(self, path: str, response_type: type[T]) -> Result[T, str]:
+        """Get a resource and decode it as `response_type`; the failure describes the error."""
+        return self._request("GET", path, None, response_type)
 
-    def post(self, path: str, body: msgspec.Struct, kind: type[T]) -> Result[T, str]:
-        """Post a body, which must be safe to send twice, and decode the response as `kind`."""
-        return self._request("POST", path, msgspec.json.encode(body), kind)
+    def post(self, path: str, body: msgspec.Struct, response_type: type[T]) -> Result[T, str]:
+        """Post a body and decode the response; the request must be safe to send twice."""
+        return self._request("POST", path, msgspec.json.encode(body), response_type)
 
-    def _request(self, method: str, path: str, body: bytes | None, kind: type[T]) -> Result[T, str]:
-        return asyncio.run(self._request_any(method, path, body, kind))
+    def _request(
+        self, method: str, path: str, body: bytes | None, response_type: type[T]
+    ) -> Result[T, str]:
+        return asyncio.run(self._request_any(method, path, body, response_type))
 
     async def _request_any(
-        self, method: str, path: str, body: bytes | None, kind: type[T]
+        self, method: str, path: str, body: bytes | None, response_type: type[T]
     ) -> Result[T, str]:
         last_error = "no control member responded"
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
@@ -77,7 +79,7 @@
                     last_error = f"{member}: {error!r}"
                     await asyncio.sleep(MIN_RETRY_DELAY_S)
                     continue
-                decoded = _decode(status, content, kind)
+                decoded = _decode(status, content, response_type)
                 if decoded is not None:
                     return decoded
                 last_error = f"{member}: no leader"
@@ -86,11 +88,11 @@
         return Failure(last_error)
 
 
-def _decode(status: int, content: bytes, kind: Any) -> Result[Any, str] | None:  # noqa: ANN401
+def _decode(status: int, content: bytes, response_type: Any) -> Result[Any, str] | None:  # noqa: ANN401
     """Decode a response; None if the request should be retried, at another member or later."""
     try:
         if status == 200:
-            return Success(msgspec.json.decode(content, type=kind))
+            return Success(msgspec.json.decode(content, type=response_type))
         error = msgspec.json.decode(content, type=ErrorBody)
     except msgspec.DecodeError as decode_error:
         return Failure(f"unexpected response with status {status}: {decode_error}")
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -96,8 +96,8 @@
         assert command_words[0] == "python3"
         # As on the platform, PYTHONPATH has only the folder of the installed libraries.
         libraries = sysconfig.get_path("purelib")
-        named = {"CROWSILL_CONFIG": str(self.settings), "PYTHONPATH": libraries}
-        environment = {**os.environ, **named}
+        environment_variables = {"CROWSILL_CONFIG": str(self.settings), "PYTHONPATH": libraries}
+        environment = {**os.environ, **environment_variables}
         with self.log.open("ab") as log:
             command = [sys.executable, *command_words[1:]]
             self.process = subprocess.Popen(
@@ -187,8 +187,8 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
                 first, *lines = head.split("\r\n")
-                pairs = (line.split(": ", 1) for line in lines if ": " in line)
-                headers = {name.lower(): value for name, value in pairs}
+                header_lines = (line.split(": ", 1) for line in lines if ": " in line)
+                headers = {name.lower(): value for name, value in header_lines}
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
                 status, extra, answer = await self._answer(first, headers, body)
                 text = [f"HTTP/1.1 {status} X", f"Content-Length: {len(answer)}", *extra]
@@ -319,11 +319,11 @@
 
     async def ask(self, front, path, headers=None, body=b"x", timeout_s=5.0):
         """Send a request through a gateway; return the status and the body."""
-        named = {"Host": "shop.example", ID: os.urandom(8).hex(), **(headers or {})}
+        sent_headers = {"Host": "shop.example", ID: os.urandom(8).hex(), **(headers or {})}
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             url = f"http://{front.front}{path}"
-            async with session.post(url, data=body, headers=named) as response:
+            async with session.post(url, data=body, headers=sent_headers) as response:
                 return response.status, await response.read()
 
     async def until(self, condition, within_s=10.0):
