--- a/src/crowsill/gateway/availability.py
+++ b/src/crowsill/gateway/availability.py
@@ -4,8 +4,8 @@
 incarnation of a replica has one such state. What the replica reported itself outlives its registry
 record, because a directory update or snapshot carries less than the replica's own responses. A
 backoff is a strict bound: neither a complete response to an earlier request nor the lack of other
-replicas shortens it. Failures are a preference where the replica interrupted responses, and a
-strict bound where no connection could be made.
+replicas shortens it. A replica that interrupted responses is only avoided as long as another one is
+available. A replica to which no connection could be made is sent nothing.
 """
 
 import math
@@ -104,7 +104,7 @@
         limit: The rate limit that it advertises.
         limit_opens_at_s: Time until which no request to it is granted under that limit.
         non_urgent_opens_at_s: Time until which no request that can wait is granted.
-        next_return_at_s: Earliest time to give to the next rejected caller under the limit.
+        next_retry_at_s: Earliest time to give to the next rejected caller under the limit.
         sent_under_limit: Requests sent to it since it began to advertise a limit.
 
     >>> known = Availability()
@@ -135,7 +135,7 @@
     limit: AdvertisedLimit = field(default_factory=AdvertisedLimit)
     limit_opens_at_s: float = float("-inf")
     non_urgent_opens_at_s: float = float("-inf")
-    next_return_at_s: float = float("-inf")
+    next_retry_at_s: float = float("-inf")
     sent_under_limit: int = 0
     available_at_s: float = field(default=float("-inf"), init=False)
 
@@ -165,7 +165,7 @@
 
     @property
     def is_closed_indefinitely(self) -> bool:
-        """Whether it is sent nothing until a further report changes that."""
+        """Whether it is sent nothing until a report or a successful connection changes that."""
         return math.isinf(self.available_at_s) and self.available_at_s > 0.0
 
     def exclusion(self, now_s: float, is_urgent: bool = True) -> Exclusion | None:
@@ -179,14 +179,14 @@
             return Exclusion(ExclusionReason.REPORTED_DRAINING)
         if self.is_listed_draining:
             return Exclusion(ExclusionReason.LISTED_DRAINING)
-        urgent_opens_at_s = self.opens_at_s(is_urgent)
-        if now_s < urgent_opens_at_s:
+        opens_at_s = self.opens_at_s(is_urgent)
+        if now_s < opens_at_s:
             reason = (
                 ExclusionReason.BACKING_OFF
                 if self.is_backing_off(now_s)
                 else ExclusionReason.RATE_LIMITED
             )
-            return Exclusion(reason, urgent_opens_at_s)
+            return Exclusion(reason, opens_at_s)
         if self.is_unreachable:
             return Exclusion(ExclusionReason.UNREACHABLE)
         if now_s < self.failure_pause_ends_at_s:
@@ -256,7 +256,7 @@
         self.limit_opens_at_s = ends_at_s
         self._update_available_at()
 
-    def reserve_return_at_s(self, now_s: float, is_urgent: bool = True) -> float:
+    def reserve_retry_at_s(self, now_s: float, is_urgent: bool = True) -> float:
         """Return the time when one more rejected caller may retry under the limit.
 
         Each caller gets a later one: with equal times, all would retry at once and be rejected
@@ -265,13 +265,13 @@
         >>> known = Availability()
         >>> known.note_limit(2.0, now_s=0.0), known.close_for_limit(1.0)
         (True, None)
-        >>> [known.reserve_return_at_s(0.0) for _ in range(3)]
+        >>> [known.reserve_retry_at_s(0.0) for _ in range(3)]
         [1.0, 1.5, 2.0]
         """
-        return_at_s = min(self.next_return_at_s, now_s + MAX_LIMIT_RETRY_AFTER_S)
-        return_at_s = max(self.opens_at_s(is_urgent), return_at_s)
-        self.next_return_at_s = return_at_s + 1.0 / self.limit.rate_per_s(now_s)
-        return return_at_s
+        retry_at_s = min(self.next_retry_at_s, now_s + MAX_LIMIT_RETRY_AFTER_S)
+        retry_at_s = max(self.opens_at_s(is_urgent), retry_at_s)
+        self.next_retry_at_s = retry_at_s + 1.0 / self.limit.rate_per_s(now_s)
+        return retry_at_s
 
     def note_draining(self, now_s: float) -> bool:
         """Record that it reported that it drains; return whether that is new."""
@@ -289,7 +289,7 @@
         self._update_available_at()
 
     def note_missing(self, resource: str) -> None:
-        """Record that it doesn't hold a model or an adapter, until the next directory update."""
+        """Record that it doesn't hold a model or adapter, until the directory updates its entry."""
         self.missing_resources.add(resource)
 
     def note_complete_response(self) -> None:
@@ -321,8 +321,8 @@
         self.is_unreachable = False
         self._update_available_at()
 
-    def forget_call_results(self) -> None:
-        """Drop the results of attempts as its record is removed; its own reports stay."""
+    def forget_attempt_results(self) -> None:
+        """Drop all but its backoff, rate limit and drain reports, as its record is removed."""
         self.missing_resources.clear()
         self.is_listed_draining = False
         self.note_complete_response()
@@ -341,8 +341,8 @@
         if self.shed_backoff_s == 0.0:
             return True
         allowed = self.max_in_flight(now_s)
-        # A fraction of a request allows one more, but only after a calm time as long as the
-        # backoff: all gateways regain that fraction at the same time.
+        # A fractional bound is rounded down until a time as long as the backoff has passed since
+        # its end, then up: all gateways regain the fraction at the same time.
         is_early = now_s < self.backoff_ends_at_s + self.shed_backoff_s
         return in_flight + 1.0 <= allowed if is_early else in_flight < allowed
 
--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -44,7 +44,7 @@
 
     @property
     def gateways(self) -> int:
-        """Number of live gateways."""
+        """Highest number of live gateways lately (see `GatewayCount`)."""
 
     def is_stopping(self) -> bool:
         """Whether connections close after their current response."""
@@ -65,7 +65,7 @@
         """Exclude a replica until a connection to it can be opened again."""
 
     def on_backoff(self, record: ReplicaRecord) -> None:
-        """Check a replica that requested a backoff again after it."""
+        """Check a replica again when the backoff that it requested ends."""
 
     def on_draining(self, record: ReplicaRecord) -> None:
         """Report to the group that a replica drains, until the group has recorded it."""
--- a/src/crowsill/gateway/crash_watch.py
+++ b/src/crowsill/gateway/crash_watch.py
@@ -28,7 +28,7 @@
 RESPONSE_TIMEOUT_S = 0.8
 REPORT_RETRY_S = 0.05
 # A report that is not accepted within this time is dropped: without a leader no other gateway could
-# learn of it, and the next crash under the same request is reported again.
+# learn of it, and the next crash during the same request is reported again.
 MAX_REPORT_TIME_S = 15.0
 # Successes within this time are reported in one message.
 CLEAR_BATCH_DELAY_S = 0.05
@@ -107,7 +107,7 @@
     def note_refused_connection(self, instance: Instance) -> None:
         """Check a replica that refused a connection.
 
-        It may have crashed under a request whose caller disconnected.
+        It may have crashed during a request whose caller disconnected.
         """
         instance_id = instance.instance_id
         if (
--- a/src/crowsill/gateway/exchange.py
+++ b/src/crowsill/gateway/exchange.py
@@ -2,8 +2,8 @@
 
 A request whose route doesn't allow retries is sent again only after a replica reported that it did
 not run it. Every retry is charged to the shared retry budget. Once the first byte of a response
-has gone to the caller, no other response replaces it. A request that can't be served is rejected at
-once, and is reported as "not run" only when that is known.
+has gone to the caller, no other response replaces it. When the gateway gives up on a request, it
+rejects it at once, and reports it as "not run" only when that is known.
 """
 
 import asyncio
@@ -79,7 +79,7 @@
         return self._log.request_id
 
     def pause_replica(self, paused: bool) -> None:
-        """Stop or resume reading from the replica, as the caller can accept bytes."""
+        """Pause reading from the replica while the caller does not read, or resume it."""
         if self._progress.attempt is not None and self._progress.attempt.connection is not None:
             self._progress.attempt.connection.pause_reading(paused)
 
@@ -232,7 +232,7 @@
         return choose(records, self._request, self._progress.tried, limits, self._loop.time())
 
     def _spend_retry(self) -> bool:
-        """Take a retry from the budget; return False if there may be none."""
+        """Spend a retry from the budget; return False if no further attempt is allowed."""
         if self._progress.attempts >= MAX_ATTEMPTS:
             return False
         budget = self._context.budget(self._service)
--- a/src/crowsill/gateway/exchange_log.py
+++ b/src/crowsill/gateway/exchange_log.py
@@ -70,27 +70,29 @@
     def _age_ms(self) -> float:
         return round((self._loop.time() - self._request.arrived_at_s) * 1000.0, 1)
 
-    def log_routed(self, choice: Choice, attempt_number: int, version: int, directory: int) -> None:
+    def log_routed(
+        self, choice: Choice, attempt_number: int, routes_version: int, directory_version: int
+    ) -> None:
         """Log that the request is sent to a replica.
 
         Args:
             choice: The replica and the reason for its choice.
             attempt_number: Number of the attempt, from 1.
-            version: Version of the routes.
-            directory: Version of the directory.
+            routes_version: Version of the routes.
+            directory_version: Version of the directory.
         """
         record = choice.record
         now_s = self._loop.time()
         log_event(
             Event.REQUEST_ROUTED,
             request=self.request_id,
-            version=version,
+            version=routes_version,
             service=self.service,
             tenant=self.tenant,
             units=self.units,
             resource=self._request.resource,
             replica=record.instance.instance_id,
-            directory=directory,
+            directory=directory_version,
             candidates=choice.candidates,
             expected_ms=round(choice.expected_ms, 1),
             known_tokens=choice.known_tokens,
@@ -166,7 +168,7 @@
             Event.SIGNAL_UNREADABLE, replica=record.instance.instance_id, word=unreadable_value
         )
 
-    def log_waiting(self, reason: NoReplicaReason, directory: int) -> None:
+    def log_waiting(self, reason: NoReplicaReason, directory_version: int) -> None:
         """Log that the request waits for a replica."""
         log_event(
             Event.REQUEST_HELD,
@@ -174,7 +176,7 @@
             service=self.service,
             resource=self._request.resource,
             why=reason,
-            directory=directory,
+            directory=directory_version,
             ms=self._age_ms(),
         )
 
--- a/src/crowsill/gateway/missing_resources.py
+++ b/src/crowsill/gateway/missing_resources.py
@@ -31,7 +31,7 @@
         """
         self._retention_s = retention_s
         self._reported_at_s: dict[str, float] = {}
-        self._retained_until_at_s: OrderedDict[str, float] = OrderedDict()
+        self._retention_ends_at_s: OrderedDict[str, float] = OrderedDict()
 
     def is_due(self, resource: str, now_s: float) -> bool:
         """Whether a resource has not been reported lately."""
@@ -43,10 +43,10 @@
 
     def retain(self, resource: str, now_s: float) -> None:
         """Continue to report a resource whose request was rejected."""
-        self._retained_until_at_s[resource] = now_s + self._retention_s
-        self._retained_until_at_s.move_to_end(resource)
-        if len(self._retained_until_at_s) > MAX_RETAINED:
-            self._retained_until_at_s.popitem(last=False)
+        self._retention_ends_at_s[resource] = now_s + self._retention_s
+        self._retention_ends_at_s.move_to_end(resource)
+        if len(self._retention_ends_at_s) > MAX_RETAINED:
+            self._retention_ends_at_s.popitem(last=False)
 
     def due(self, now_s: float) -> list[str]:
         """Return the resources to report again now, and drop expired ones."""
@@ -54,9 +54,9 @@
         self._reported_at_s = {
             resource: at_s for resource, at_s in self._reported_at_s.items() if at_s > horizon_s
         }
-        while self._retained_until_at_s and next(iter(self._retained_until_at_s.values())) <= now_s:
-            self._retained_until_at_s.popitem(last=False)
-        return [resource for resource in self._retained_until_at_s if self.is_due(resource, now_s)]
+        while self._retention_ends_at_s and next(iter(self._retention_ends_at_s.values())) <= now_s:
+            self._retention_ends_at_s.popitem(last=False)
+        return [resource for resource in self._retention_ends_at_s if self.is_due(resource, now_s)]
 
 
 def resource_name(service: str, model: str, adapter: str) -> str:
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -56,9 +56,9 @@
         self._log.log_finished(end.status, self._progress.attempts, self._progress.attempt)
         self._caller.finish(not close)
 
-    def give_up(self, refused: RejectedRequest) -> None:
+    def give_up(self, rejected: RejectedRequest) -> None:
         """Reject the request because no replica can take it."""
-        reason = refused.reason
+        reason = rejected.reason
         if self._progress.may_have_run:
             self.reject(ErrorKind.BACKEND_FAILED, f"no replica is left to try: {reason}")
             return
@@ -68,8 +68,8 @@
         elif reason is NoReplicaReason.NO_REPLICA:
             kind, detail = ErrorKind.NO_REPLICA, "the service has no replica"
         elif reason is NoReplicaReason.ALL_CLOSED:
-            detail = refused.detail or "every replica that could run it is temporarily excluded"
-        self.reject(kind, detail, round(refused.retry_after_s, 2))
+            detail = rejected.detail or "every replica that could run it is temporarily excluded"
+        self.reject(kind, detail, round(rejected.retry_after_s, 2))
 
     def time_out(self) -> None:
         """End the request at its deadline, or because the process stops."""
@@ -78,7 +78,7 @@
         attempt: Attempt | None = self._progress.attempt
         if attempt is not None and attempt.is_relaying:
             self._log_rejected(
-                ErrorKind.ANSWER_TRUNCATED, f"cut after {attempt.relayed_bytes} bytes"
+                ErrorKind.ANSWER_TRUNCATED, f"truncated after {attempt.relayed_bytes} bytes"
             )
             self._caller.abort()
             return
@@ -101,7 +101,7 @@
         return True
 
     def reject(self, kind: ErrorKind, detail: str, retry_after_s: float | None = None) -> None:
-        """Respond with an error of the closed list.
+        """Respond with an error of a given kind.
 
         Args:
             kind: Selects the status and the body.
--- a/src/crowsill/gateway/progress.py
+++ b/src/crowsill/gateway/progress.py
@@ -16,9 +16,10 @@
         tried: Ids of the instances that it was sent to.
         attempts: How often it was sent.
         runs: How often a replica ran it, or may have.
-        may_have_run: Whether a rejection may no longer say "not run".
+        may_have_run: Whether a replica may have run it, so that a rejection must not report "not
+            run".
         last_failure: Why the last attempt failed, for the error message.
-        waiting_reason: Why it waited last.
+        waiting_reason: Why it waited last; None if it has not waited.
         attempt: The current attempt, or the last one.
     """
 
@@ -32,7 +33,7 @@
 
 
 class PendingPrompt:
-    """A prompt that a replica has not read yet; counted until its first event or its end."""
+    """A prompt that a replica has not read yet; counted until the response begins or ends."""
 
     def __init__(self, record: ReplicaRecord, tokens: int, sent_at_s: float) -> None:
         self._record = record
--- a/src/crowsill/gateway/rejection.py
+++ b/src/crowsill/gateway/rejection.py
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """An error of the closed list that is returned to the caller.
+    """The error that the caller gets in place of a response.
 
     Attributes:
-        kind: The error.
+        kind: Kind of the error.
         detail: One sentence for the caller; never contains an API key.
         retry_after_s: Seconds after which the caller may retry; None if a retry can't succeed.
     """
--- a/src/crowsill/gateway/repeat_guard.py
+++ b/src/crowsill/gateway/repeat_guard.py
@@ -17,8 +17,8 @@
 QUARANTINE_RETRY_S = 300.0
 # How long a suspect waits for a duplicate running at this gateway; most responses take less.
 MAX_DUPLICATE_WAIT_S = 1.0
-# Success is remembered for requests up to this size, which takes 2 to 8 us each. Identical requests
-# of many callers are small; large prompts differ.
+# Successes are remembered only of requests up to this size, which takes 2 to 8 us each. Identical
+# requests of many callers are small; large prompts differ.
 MAX_REMEMBERED_BODY_BYTES = 1024
 DUPLICATE_POLL_S = 0.05
 DUPLICATE_RETRY_S = 1.0
@@ -59,7 +59,7 @@
     async def await_duplicate(self) -> Rejection | None:
         """Wait while a duplicate of a suspect runs here; return a rejection if it may not be sent.
 
-        Duplicates sent side by side would crash a replica each before all gateways know the count.
+        Duplicates sent concurrently would each crash a replica before all gateways know the count.
         """
         guard = self._context.crash_guard
         end_at_s = self._loop.time() + MAX_DUPLICATE_WAIT_S
@@ -119,7 +119,7 @@
         )
 
     async def may_repeat(self, instance: Instance, end: AttemptEnd) -> bool:
-        """Whether the request may be sent to another replica after an attempt ended like this.
+        """Whether the request may be sent to another replica after this end of an attempt.
 
         Otherwise a single request with three attempts could crash three replicas.
         """
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -13,7 +13,7 @@
 
 from crowsill.gateway.headers import HeaderNames, Headers, find_header, read_number
 
-# Idle time of a connection whose replica sends no `Keep-Alive: timeout`.
+# A replica that sends no `Keep-Alive: timeout` is assumed to keep idle connections this long.
 DEFAULT_IDLE_S = 60.0
 IDLE_MARGIN_S = 1.0
 MAX_IDLE_MARGIN_SHARE = 0.5
@@ -136,7 +136,7 @@
             self._transport.write(message)
 
     def pause_reading(self, paused: bool) -> None:
-        """Pause or resume reading, as the caller can accept bytes."""
+        """Pause reading while the caller does not read, or resume it."""
         if self._transport is None or not self.is_open or self._transport.is_closing():
             return
         if paused:
--- a/src/crowsill/gateway/replica_feedback.py
+++ b/src/crowsill/gateway/replica_feedback.py
@@ -105,8 +105,8 @@
             if end.status == 421 and request.model:
                 record.availability.note_missing(request.resource)
             elif end.status in REJECTION_STATUSES and not attempt.signals.backoff_s:
-                # It responds at once and has nothing in flight, so it would look like the fastest
-                # one.
+                # A replica that rejects at once has nothing in flight, so it would look like the
+                # fastest one.
                 record.note_error_response()
             return
         self._progress.runs += 1
--- a/src/crowsill/gateway/replica_grants.py
+++ b/src/crowsill/gateway/replica_grants.py
@@ -13,7 +13,7 @@
 from crowsill.transport.messages import Body, GrantReply
 from crowsill.transport.replica_messages import ReplicaGrantRequest
 
-# A round trip between sites takes some ms; a lost packet is retransmitted after 0.2 s.
+# A round trip between zones takes some ms; a lost packet is retransmitted after 0.2 s.
 RESPONSE_TIMEOUT_S = 0.3
 NO_LEADER_RETRY_AFTER_S = 0.3
 # Minimum time for which a replica is closed after a rejection.
@@ -33,7 +33,7 @@
         Args:
             query: Sends a request to the control group; returns the reply, or None if there was
                 none within the given time.
-            on_change: Called when the replica may be requested again.
+            on_change: Called when a closed replica may have capacity again.
         """
         self._query = query
         self._on_change = on_change
--- a/src/crowsill/gateway/replica_registry.py
+++ b/src/crowsill/gateway/replica_registry.py
@@ -87,7 +87,7 @@
         self.instance = self._with_reported_drain(instance)
 
     def _with_reported_drain(self, instance: Instance) -> Instance:
-        """Return the instance as draining if the replica reported that, whatever heartbeats say."""
+        """Return the instance as draining if the replica reported that in a response."""
         if not self.availability.has_reported_draining or not instance.accepts_work:
             return instance
         return msgspec.structs.replace(instance, state=InstanceState.DRAINING)
@@ -106,8 +106,8 @@
 
     def slowness_now(self, now_s: float) -> float:
         """Return its slowness, which decays to 1 while nothing is sent to it."""
-        age = min(1.0, max(0.0, now_s - self.slowness_updated_at_s) / SLOWNESS_DECAY_S)
-        return self.slowness + (1.0 - self.slowness) * age
+        decayed_share = min(1.0, max(0.0, now_s - self.slowness_updated_at_s) / SLOWNESS_DECAY_S)
+        return self.slowness + (1.0 - self.slowness) * decayed_share
 
     def note_load(self, load: ReplicaLoad, now_s: float) -> None:
         """Record a load report of the replica."""
@@ -197,7 +197,7 @@
         return self._by_service.get(service, [])
 
     def excluded(self, now_s: float) -> list[ExcludedReplica]:
-        """Return at most `MAX_REPORTED_EXCLUSIONS` excluded replicas, the worst first."""
+        """Return at most `MAX_REPORTED_EXCLUSIONS` excluded replicas, by order of the reasons."""
         order = list(ExclusionReason)
         found = [
             (order.index(exclusion.reason), record.instance.instance_id, exclusion)
@@ -283,7 +283,7 @@
         record = self._records.pop(instance_id, None)
         if record is None:
             return False
-        record.availability.forget_call_results()
+        record.availability.forget_attempt_results()
         if record.availability.has_reported_state:
             self._former_availability[instance_id] = record.availability
             if len(self._former_availability) > MAX_FORMER_INCARNATIONS:
--- a/src/crowsill/gateway/replica_watch.py
+++ b/src/crowsill/gateway/replica_watch.py
@@ -42,7 +42,8 @@
 
     def watch_unreachable(self, record: ReplicaRecord) -> None:
         """Exclude a replica until a connection to it succeeds, and report it as a suspect."""
-        # Nobody watches a removed record, and its incarnation may be listed again.
+        # A removed record is not watched, so nothing would clear the mark if its incarnation were
+        # listed again.
         is_known = self._registry.find(record.instance.instance_id) is record
         if not is_known or record.availability.is_unreachable:
             return
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -219,7 +219,7 @@
 
     @property
     def gateways(self) -> int:
-        """Number of gateways that share the retry budgets."""
+        """Highest number of live gateways lately; they share the retry budgets."""
         return self._gateway_count.maximum()
 
     def budget(self, service: str) -> SharedBudget:
@@ -238,7 +238,7 @@
         self._watch.watch_unreachable(record)
 
     def on_backoff(self, record: ReplicaRecord) -> None:
-        """Check a replica again after its backoff."""
+        """Check a replica again when the backoff that it requested ends."""
         self._watch.watch_backoff(record)
 
     def on_draining(self, record: ReplicaRecord) -> None:
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -1,11 +1,11 @@
 """Chooses the replica for a request from what the gateway knows. Pure.
 
 Among hundreds of gateways, each one sends a request to a given replica only now and then. Its own
-requests say nothing about most replicas, so a gateway also weighs the requests of the others. Those
-are reported twice a second: if all gateways followed a report to the least loaded replica, they
-would overload it before the next report. So what others have in flight only decides between two
-replicas: the one that is preferred by the gateway's own knowledge, and another one drawn at random
-(Mitzenmacher, "How useful is old information?", 2000). Ties are broken at random.
+requests show nothing about most replicas, so a gateway also weighs the requests of the others.
+Those are reported twice a second: if all gateways followed a report to the least loaded replica,
+they would overload it before the next report. So what others have in flight only decides between
+two replicas: the one that is preferred by the gateway's own knowledge, and another one drawn at
+random (Mitzenmacher, "How useful is old information?", 2000). Ties are broken at random.
 """
 
 from collections.abc import Callable
--- a/src/crowsill/gateway/wait_decision.py
+++ b/src/crowsill/gateway/wait_decision.py
@@ -1,6 +1,6 @@
 """Decides whether a request that no replica can take now waits or is rejected at once. Pure.
 
-Many callers may want a resource that is not available yet, and some of them can wait longer than
+Many callers may need a resource that is not available yet, and some of them can wait longer than
 others. A request that cannot be served in time is rejected at once with a time to retry, which
 differs between callers.
 
@@ -15,8 +15,8 @@
 
 from crowsill.model.routes import Route, RouteKind
 
-# How callers of streams are told to behave: they leave when nothing has come for the longest of
-# these times. The gateway doesn't choose this, and must not keep them longer.
+# Callers of streams are instructed to disconnect after they have received nothing for the longest
+# of these times. The gateway can't change this, and must not make them wait longer.
 STREAM_ABANDON_S = 2.0
 STREAM_ABANDON_TARGETS = 4.0
 STREAM_ABANDON_GAPS = 8.0
@@ -50,15 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitBudget:
-    """How long a caller waits for one request, in seconds since its first try began.
+    """How long a caller waits for one request, in seconds since the caller's first try began.
 
     Attributes:
-        elapsed_before_s: When the current try began.
-        waited_s: Time that has passed.
-        total_s: When its deadline is.
-        target_s: Up to when a response has its full value.
-        abandons_after_s: When it leaves if nothing has come; infinite if it waits for its deadline.
-        is_retry: Whether it was rejected before.
+        elapsed_before_s: Time until the current try began.
+        waited_s: Time until now.
+        total_s: Time until the deadline.
+        target_s: Time up to which a response has its full value.
+        abandons_after_s: Time after which the caller disconnects if it has received nothing;
+            infinite if it waits until the deadline.
+        is_retry: Whether the caller was rejected before.
     """
 
     elapsed_before_s: float
--- a/src/crowsill/gateway/wait_estimates.py
+++ b/src/crowsill/gateway/wait_estimates.py
@@ -6,8 +6,8 @@
 from crowsill.gateway.wait_decision import WaitEstimate
 from crowsill.model.routes import ModelWeights
 
-# Time within which the control group considers reported demand and tells gateways if it loads the
-# model.
+# Time within which the control group considers reported demand and, if it loads the model,
+# informs the gateways.
 PLACEMENT_DECISION_S = 0.5
 # Time in which a probability falls to a half. Placement often decides on a requested load only
 # after requests have waited for a while, so demand for a rare model must be reported for some
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -28,7 +28,7 @@
 
 CAPACITY_POLL_S = 0.1
 DEMAND_REPEAT_S = 0.3
-# A process that stops sends callers elsewhere at once: another gateway has the same routes.
+# A stopping process makes callers retry at once: another gateway has the same routes.
 STOPPING_RETRY_AFTER_S = 0.1
 
 
@@ -37,7 +37,7 @@
     """A request that is rejected because no replica can take it.
 
     Attributes:
-        reason: Why none could, at last.
+        reason: Why none could when it was rejected.
         retry_after_s: Time after which the caller should retry.
         detail: What closes the replica that opens first, and for how long; for the error message.
     """
@@ -137,7 +137,7 @@
         record = self._first_to_open()
         if record is not None and self._is_limited(reason):
             now_s = self._loop.time()
-            ready_s = record.availability.reserve_return_at_s(now_s, self._is_urgent) - now_s
+            ready_s = record.availability.reserve_retry_at_s(now_s, self._is_urgent) - now_s
             estimate = replace(estimate, ready_s=ready_s)
         spread = self._context.random.random()
         retry_after_s = retry_delay_s(estimate, budget, rank, spread)
