--- a/src/crowsill/control/draining_replicas.py
+++ b/src/crowsill/control/draining_replicas.py
@@ -1,4 +1,4 @@
-"""Commits that replicas drain when their responses say so, to a gateway or to this member.
+"""Commits that replicas drain when they report it in responses to a gateway or this member.
 
 The group records it as if a heartbeat had reported it: one log entry for each incarnation, however
 many processes receive the response. So all gateways, placement and the crash watch know it.
--- a/src/crowsill/control/driver.py
+++ b/src/crowsill/control/driver.py
@@ -175,12 +175,14 @@
 
     async def _tick(self) -> None:
         while True:
-            slept_at_s = monotonic_s()
+            sleep_began_at_s = monotonic_s()
             await asyncio.sleep(self._tick_s)
             now_s = monotonic_s()
-            if now_s - slept_at_s > self._tick_s + STALL_THRESHOLD_S:
+            if now_s - sleep_began_at_s > self._tick_s + STALL_THRESHOLD_S:
                 log_event(
-                    Event.MEMBER_STALLED, seconds=round(now_s - slept_at_s, 2), role=self._role
+                    Event.MEMBER_STALLED,
+                    seconds=round(now_s - sleep_began_at_s, 2),
+                    role=self._role,
                 )
             self.node.tick(now_s)
             self._wake.set()
--- a/src/crowsill/control/gateway_reports.py
+++ b/src/crowsill/control/gateway_reports.py
@@ -14,8 +14,8 @@
         live_entries: Entries that reported recently, here or through followers.
         demand: Requests by resource, collected by the leader or forwarded to it.
         urgent: Those requests that have a short latency target.
-        overloaded: Those requests whose first event took most of their target, or that found no
-            free slot.
+        overloaded: Those requests whose first event took most of their target latency, or that
+            found no replica with capacity.
         use: The gateways' use of replicas.
         replica_grants: Rate limits that replicas advertise, and the grants under them.
     """
--- a/src/crowsill/control/model_placer.py
+++ b/src/crowsill/control/model_placer.py
@@ -30,7 +30,7 @@
 PLAN_PAUSE_FACTOR = 4.0
 DEMAND_HALF_LIFE_S = 3.0
 OVERLOAD_HALF_LIFE_S = 1.5
-# Gateways repeat their request for a missing resource every third of a second while callers wait.
+# Gateways repeat their report of a missing resource every 0.3 s while callers wait.
 WAITING_LIFETIME_S = 0.7
 # Adapters are cheap to load, but a long model load may delay them, so they are kept longer.
 WAITING_ADAPTER_LIFETIME_S = 5.0
@@ -133,10 +133,10 @@
         self._wake = asyncio.Event()
         self._jobs = EngineJobs(ports.engines, holder, term, self._wake.set)
 
-    def note_waiting(self, wanted: dict[str, int]) -> None:
+    def note_waiting(self, awaited: dict[str, int]) -> None:
         """Record the resources that requests wait for."""
         now_s = monotonic_s()
-        for resource in wanted:
+        for resource in awaited:
             self._waited_for_at_s[resource] = now_s
             model = resource.partition("/")[0]
             last_at_s, since_at_s = self._wait_spans.get(model, (float("-inf"), now_s))
--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -101,8 +101,8 @@
 
     async def _query(self, target: Address) -> Address | None:
         """Query one process and the one that it refers to; return the leader's address."""
-        question = FindGroup(format_address(self._own))
-        leader, reply = await query_leader(target, question, self._local, REPLY_TIMEOUT_S)
+        request = FindGroup(format_address(self._own))
+        leader, reply = await query_leader(target, request, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
             self.contacts.add_referrals([parse_address(member) for member in reply.members])
         if not isinstance(reply, GroupReferral):
--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -91,9 +91,9 @@
         instance_id = heartbeat.instance.instance_id
         directory = self._machine.directory
         known = directory.find_reported(instance_id)
-        # Recorded, a replica without a route would remove the current holder of its address and
-        # serve no request. A known replica may still report that it drains after its service was
-        # removed from the routes.
+        # If it were recorded, a replica without a route would remove the replica that now has its
+        # address, and would serve no request. A known replica may still report that it drains after
+        # its service was removed from the routes.
         if known is None and not self.is_routed(heartbeat.instance.service):
             return Failure(Problem(ErrorKind.UNKNOWN_SERVICE, "no route names its service"))
         if known is not None and known.service != heartbeat.instance.service:
--- a/src/crowsill/control/service.py
+++ b/src/crowsill/control/service.py
@@ -235,11 +235,11 @@
         address = None if driver is None else driver.leader_address()
         return "" if address is None else address.rpartition(":")[0]
 
-    def forward_demand(self, wanted: dict[str, int]) -> None:
+    def forward_demand(self, awaited: dict[str, int]) -> None:
         """Push to the leader at once which resources requests at gateways wait for."""
         stream = self.leader_stream
         if stream is not None and not stream.is_closed:
-            stream.push(DemandNotice(wanted))
+            stream.push(DemandNotice(awaited))
 
     def on_push(self, connection: Connection, body: Body) -> None:
         """Handle a push."""
