--- a/src/crowsill/gateway/missing_resources.py
+++ b/src/crowsill/gateway/missing_resources.py
@@ -50,9 +50,9 @@
 
     def due(self, now_s: float) -> list[str]:
         """Return the resources to report again now, and drop expired ones."""
-        horizon_s = now_s - REPEAT_INTERVAL_S
+        horizon_at_s = now_s - REPEAT_INTERVAL_S
         self._reported_at_s = {
-            resource: at_s for resource, at_s in self._reported_at_s.items() if at_s > horizon_s
+            resource: at_s for resource, at_s in self._reported_at_s.items() if at_s > horizon_at_s
         }
         while self._retained_until_at_s and next(iter(self._retained_until_at_s.values())) <= now_s:
             self._retained_until_at_s.popitem(last=False)
--- a/src/crowsill/routing/advertised_limit.py
+++ b/src/crowsill/routing/advertised_limit.py
@@ -54,7 +54,7 @@
     (True, False)
     >>> limit.note_advertised(1.0, now_s=7.0)
     True
-    >>> limit.note_not_advertised(sent_s=6.5), limit.note_not_advertised(sent_s=7.5)
+    >>> limit.note_not_advertised(sent_at_s=6.5), limit.note_not_advertised(sent_at_s=7.5)
     (False, True)
     >>> limit.is_in_effect(7.0), limit.rate_per_s(8.0), limit.rate_per_s(9.0)
     (True, 2.0, 4.0)
@@ -77,16 +77,16 @@
         self.per_s, self.advertised_at_s, self.lifted_at_s = per_s, now_s, None
         return is_new
 
-    def note_not_advertised(self, sent_s: float) -> bool:
+    def note_not_advertised(self, sent_at_s: float) -> bool:
         """Record a response without a limit; return whether it lifts the limit.
 
         Args:
-            sent_s: Time when its request was sent. A response to a request that was sent before the
-                limit was last advertised does not lift it.
+            sent_at_s: Time when its request was sent. A response to a request that was sent before
+                the limit was last advertised does not lift it.
         """
-        if not self.is_advertised or sent_s <= self.advertised_at_s:
+        if not self.is_advertised or sent_at_s <= self.advertised_at_s:
             return False
-        self.lifted_at_s = sent_s
+        self.lifted_at_s = sent_at_s
         return True
 
     def is_in_effect(self, now_s: float) -> bool:
--- a/src/crowsill/routing/cache_hints.py
+++ b/src/crowsill/routing/cache_hints.py
@@ -26,7 +26,7 @@
         self._cached: dict[str, _CachedPrefixes] = {}
 
     def last_event(self, replica_id: str) -> int:
-        """Return the number of the last applied event; the next request starts after it."""
+        """Return the number of the last applied event; the next query starts after it."""
         cached = self._cached.get(replica_id)
         return 0 if cached is None else cached.last_event
 
--- a/src/crowsill/routing/engine_latency.py
+++ b/src/crowsill/routing/engine_latency.py
@@ -84,8 +84,8 @@
 
     def current_ms(self, now_s: float) -> float:
         """Return the average, reduced by its age."""
-        age = (now_s - self.updated_at_s) / DELAY_LIFETIME_S
-        return self.delay_ms * max(0.0, 1.0 - age)
+        age_ratio = (now_s - self.updated_at_s) / DELAY_LIFETIME_S
+        return self.delay_ms * max(0.0, 1.0 - age_ratio)
 
     def observe(self, delay_ms: float, now_s: float) -> None:
         """Add a sample; a negative one counts as 0."""
--- a/src/crowsill/routing/retry_after.py
+++ b/src/crowsill/routing/retry_after.py
@@ -32,10 +32,10 @@
         return min(MAX_BACKOFF_S, float(text))
     try:
         date = parsedate_to_datetime(text)
-        until_s = (date if date.tzinfo else date.replace(tzinfo=UTC)).timestamp()
+        retry_at_s = (date if date.tzinfo else date.replace(tzinfo=UTC)).timestamp()
     except (ValueError, OverflowError, TypeError, IndexError):
         return None
-    return min(MAX_BACKOFF_S, max(0.0, until_s - wall_s))
+    return min(MAX_BACKOFF_S, max(0.0, retry_at_s - wall_s))
 
 
 def parse_longest_delay_s(values: list[str], wall_s: float) -> tuple[float, list[str]]:
--- a/src/crowsill/routing/selection.py
+++ b/src/crowsill/routing/selection.py
@@ -48,7 +48,7 @@
     Attributes:
         replica: The replica.
         reason: The reason for the selection.
-        candidates: Candidates with free slots, as `replica:load` pairs for the log.
+        candidates: Up to eight candidates with free slots, as `replica:load` pairs for the log.
     """
 
     replica: ReplicaState
@@ -107,11 +107,11 @@
         elif circuit.failed(now_s):
             log_event(Event.CIRCUIT_OPENED, replica=replica_id, failures=circuit.failures)
 
-    def note_backoff(self, state: ReplicaState, until_s: float) -> None:
+    def note_backoff(self, state: ReplicaState, ends_at_s: float) -> None:
         """Record that a replica asked this entry to back off until a monotonic time."""
         replica_id = state.description.replica_id
-        until_s = max(until_s, self._backoff_ends_at_s(state))
-        self._backoffs[replica_id] = _Backoff(state.report.incarnation, until_s)
+        ends_at_s = max(ends_at_s, self._backoff_ends_at_s(state))
+        self._backoffs[replica_id] = _Backoff(state.report.incarnation, ends_at_s)
 
     def _backoff_ends_at_s(self, state: ReplicaState) -> float:
         backoff = self._backoffs.get(state.description.replica_id)
--- a/src/crowsill/routing/shared_budget.py
+++ b/src/crowsill/routing/shared_budget.py
@@ -2,8 +2,8 @@
 
 In any window, retries are bounded by a ratio of the first attempts plus a fixed allowance. Each
 gateway counts its own first attempts, so that part needs no division. The allowance is divided by
-the number of live gateways, with a safety factor for times when not every gateway knows the
-current number yet.
+the number of live gateways. A safety factor lowers the sum of both, for times when not every
+gateway knows the current number yet.
 """
 
 from collections import deque
@@ -43,9 +43,9 @@
         self._retries_at_s: deque[float] = deque()
 
     def _drop_expired(self, now_s: float) -> None:
-        horizon_s = now_s - self._limits.window_s
+        horizon_at_s = now_s - self._limits.window_s
         for times_s in (self._first_attempts_at_s, self._retries_at_s):
-            while times_s and times_s[0] <= horizon_s:
+            while times_s and times_s[0] <= horizon_at_s:
                 times_s.popleft()
 
     def earn(self, now_s: float) -> None:
--- a/src/crowsill/tenancy/grant_ledger.py
+++ b/src/crowsill/tenancy/grant_ledger.py
@@ -24,8 +24,8 @@
 # Covers a round trip with one lost packet, which is sent again after 0.2 to 0.6 s. Each second of
 # lifetime costs a tenant one second of its rate in each window.
 GRANT_LIFETIME_S = 0.8
-# Maximum time after which a grant takes effect. A short wait serves a caller that would otherwise
-# be rejected. Requests that would wait for longer are rejected with the time when there is room.
+# Maximum delay until a grant takes effect. A short wait serves a caller that would otherwise be
+# rejected. Requests that would wait for longer are rejected with the time when there is room.
 MAX_GRANT_DELAY_S = 0.3
 # Time for which grants count beyond the bound, because clocks of two machines may run at different
 # speeds.
@@ -111,7 +111,7 @@
             it was made.
         missing_reserve: Units of requests that need a further record.
         is_recorded: Whether the group's record may contain units of the tenant.
-        rate: Rate of the tenant, in units per second.
+        rate_per_s: Rate of the tenant, in units per second.
         next_return_at_s: Time up to which future room is already assigned to rejected requests.
     """
 
@@ -122,7 +122,7 @@
     proposed_reserve: float = 0.0
     missing_reserve: float = 0.0
     is_recorded: bool = False
-    rate: float = 0.0
+    rate_per_s: float = 0.0
     next_return_at_s: float = 0.0
 
     def counted(self) -> float:
@@ -164,17 +164,17 @@
         for age, units in enumerate(use.units):
             # The newest units may have been granted until this term started, and their grants take
             # effect up to `MAX_GRANT_DELAY_S` later.
-            counted_from_s = now_s + MAX_GRANT_DELAY_S
+            counts_from_at_s = now_s + MAX_GRANT_DELAY_S
             if age > 0:
-                counted_from_s = use.applied_at_s - age * accounting_window_s / AGE_BUCKETS
-            account.inherited.append((counted_from_s + accounting_window_s, units))
+                counts_from_at_s = use.applied_at_s - age * accounting_window_s / AGE_BUCKETS
+            account.inherited.append((counts_from_at_s + accounting_window_s, units))
         return account
 
     def _account(self, name: str, now_s: float) -> _Account:
         """Return the account of a tenant after removing units that no longer count."""
         account = self._accounts.setdefault(name, _Account())
-        horizon_s = now_s - self._bounds.accounting_window_s
-        while account.counts and account.counts[0][0] <= horizon_s:
+        horizon_at_s = now_s - self._bounds.accounting_window_s
+        while account.counts and account.counts[0][0] <= horizon_at_s:
             account.granted -= account.counts.popleft()[1]
         if not account.counts:
             account.granted = 0.0
@@ -194,7 +194,7 @@
             The decision; None if more units have to be recorded first (`due`).
         """
         account = self._account(tenant.name, now_s)
-        account.rate = tenant.rate_per_s
+        account.rate_per_s = tenant.rate_per_s
         wait_s = self._wait_s(account, tenant, units, now_s)
         if wait_s > MAX_GRANT_DELAY_S:
             return GrantDecision(False, self._retry_after_s(account, tenant, units, wait_s, now_s))
@@ -209,8 +209,8 @@
         account.reserve -= units
         account.proposed_reserve -= units
         if account.counts and account.counts[-1][0] >= effective_at_s:
-            counted_until_s, others = account.counts.pop()
-            account.counts.append((counted_until_s, others + units))
+            counted_at_s, others = account.counts.pop()
+            account.counts.append((counted_at_s, others + units))
             return
         account.counts.append((effective_at_s + COUNT_INTERVAL_S, units))
 
@@ -249,7 +249,7 @@
         found: dict[str, list[float]] = {}
         for name in list(self._accounts):
             account = self._account(name, now_s)
-            full_reserve = account.rate * RESERVE_S
+            full_reserve = account.rate_per_s * RESERVE_S
             if account.counted() == 0.0 and account.missing_reserve == 0.0:
                 if account.is_recorded:
                     found[name] = []
@@ -281,17 +281,17 @@
         units = [0.0] * AGE_BUCKETS
         for at_s, counted in account.counts:
             units[_age_bucket(now_s - at_s, accounting_window_s)] += counted
-        for until_s, counted in account.inherited:
-            units[_age_bucket(accounting_window_s - (until_s - now_s), accounting_window_s)] += (
-                counted
-            )
+        for expires_at_s, counted in account.inherited:
+            units[
+                _age_bucket(accounting_window_s - (expires_at_s - now_s), accounting_window_s)
+            ] += counted
         return units
 
 
-def _age_bucket(seconds: float, accounting_window_s: float) -> int:
+def _age_bucket(age_s: float, accounting_window_s: float) -> int:
     """Return the index of the age bucket for an age in seconds.
 
     >>> _age_bucket(-0.1, 9.0), _age_bucket(0.9, 9.0), _age_bucket(3.0, 9.0), _age_bucket(8.9, 9.0)
     (0, 0, 3, 8)
     """
-    return min(AGE_BUCKETS - 1, max(0, int(seconds * AGE_BUCKETS / accounting_window_s)))
+    return min(AGE_BUCKETS - 1, max(0, int(age_s * AGE_BUCKETS / accounting_window_s)))
