--- a/src/crowsill/control/registrations.py
+++ b/src/crowsill/control/registrations.py
@@ -102,7 +102,7 @@
         is_late = heartbeat.sequence < self._newest_sequence.get(instance_id, -1)
         if not is_late:
             self._newest_sequence[instance_id] = heartbeat.sequence
-        if is_late or not directory.changes(heartbeat):
+        if is_late or not directory.would_change(heartbeat):
             return Success(self._service.leader_host())
         if not await self._commit(RecordHeartbeat(heartbeat), HEARTBEAT_TIMEOUT_S):
             return Failure(Problem(ErrorKind.NO_LEADER, "no majority recorded the heartbeat"))
--- a/src/crowsill/model/instances.py
+++ b/src/crowsill/model/instances.py
@@ -18,7 +18,7 @@
 
 
 class InstanceState(StrEnum):
-    """Whether an instance accepts new work; the state only moves down this list."""
+    """Whether an instance accepts new work; the state only changes to a later one of this list."""
 
     READY = "ready"
     DRAINING = "draining"
--- a/src/crowsill/model/replica_limits.py
+++ b/src/crowsill/model/replica_limits.py
@@ -14,8 +14,8 @@
         instance_id: Id of the incarnation.
         per_s: Requests per second that the replica accepts from all gateways together.
         advertised_ago_s: Seconds since a response last advertised the limit.
-        lifted_ago_s: Seconds since the sending of the latest request whose response advertised no
-            limit; None unless that is later than the last response that did.
+        lifted_ago_s: Seconds since the first request after that was sent whose response advertised
+            no limit; None while the limit is advertised.
     """
 
     instance_id: str
--- a/src/crowsill/model/routes.py
+++ b/src/crowsill/model/routes.py
@@ -159,15 +159,15 @@
         faults.append("two services share a name")
     faults.extend(tenant_faults(configuration.tenants))
     names: set[str] = set()
-    places: set[tuple[str, str]] = set()
+    hosts_and_prefixes: set[tuple[str, str]] = set()
     for route in configuration.routes:
         faults.extend(_route_faults(route, services))
-        place = (route.host.lower(), route.path_prefix)
-        if place in places:
+        host_and_prefix = (route.host.lower(), route.path_prefix)
+        if host_and_prefix in hosts_and_prefixes:
             faults.append(f"route {route.name}: another route has its host and path prefix")
         if route.name in names:
             faults.append(f"route {route.name}: another route has its name")
-        places.add(place)
+        hosts_and_prefixes.add(host_and_prefix)
         names.add(route.name)
     return faults
 
--- a/src/crowsill/state/claim_archive.py
+++ b/src/crowsill/state/claim_archive.py
@@ -23,7 +23,7 @@
     """Digests of keys claimed in one hour, as stored in a snapshot.
 
     Attributes:
-        hour: Hours since the epoch.
+        hour: Hours since the Unix epoch.
         digests: Sorted digests, eight bytes each in the machine's byte order.
     """
 
@@ -49,8 +49,8 @@
     def add(self, digest: int, opened_at_s: float) -> None:
         """Add a key that was claimed at `opened_at_s`."""
         hour = int(opened_at_s // BUCKET_S)
-        for known, digests in reversed(self._buckets):
-            if known == hour and len(digests) < MAX_BUCKET_KEYS:
+        for bucket_hour, digests in reversed(self._buckets):
+            if bucket_hour == hour and len(digests) < MAX_BUCKET_KEYS:
                 insort(digests, digest)
                 return
         self._buckets.append((hour, array(_ARRAY_TYPE_CODE, [digest])))
@@ -64,9 +64,9 @@
 
     def forget_before(self, before_at_s: float) -> None:
         """Drop the hours that ended before `before_at_s`."""
-        first = int(before_at_s // BUCKET_S)
-        if self._buckets and self._buckets[0][0] < first:
-            self._buckets = [bucket for bucket in self._buckets if bucket[0] >= first]
+        first_hour = int(before_at_s // BUCKET_S)
+        if self._buckets and self._buckets[0][0] < first_hour:
+            self._buckets = [bucket for bucket in self._buckets if bucket[0] >= first_hour]
 
     def dump(self) -> list[ClaimBucket]:
         """Return everything for a snapshot."""
--- a/src/crowsill/state/claims.py
+++ b/src/crowsill/state/claims.py
@@ -132,7 +132,7 @@
         return True
 
     def abandon(self, holders: set[str]) -> int:
-        """Give the open claims of entries that are gone an unknown outcome; return their number."""
+        """Set open claims of entries that are gone to an unknown outcome; return their number."""
         count = 0
         for claim in self._claims.values():
             if claim.state is ClaimState.OPEN and claim.holder in holders:
@@ -148,12 +148,14 @@
     def _forget_old(self, now_s: float) -> None:
         """Archive claims that exceed the limits of age, number or size as digests of their keys."""
         self._archive.forget_before(now_s - self._retention_s)
-        full_after_s = now_s - min(FULL_CLAIM_RETENTION_S, self._retention_s)
+        full_after_at_s = now_s - min(FULL_CLAIM_RETENTION_S, self._retention_s)
         while self._claims:
             key = next(iter(self._claims))
             claim = self._claims[key]
-            over = len(self._claims) > MAX_FULL_CLAIMS or self._response_bytes > MAX_RESPONSE_BYTES
-            if claim.opened_at_s >= full_after_s and not over:
+            is_over_limit = (
+                len(self._claims) > MAX_FULL_CLAIMS or self._response_bytes > MAX_RESPONSE_BYTES
+            )
+            if claim.opened_at_s >= full_after_at_s and not is_over_limit:
                 return
             self._remove(key)
             # A released claim did not run, so its key may be claimed again.
--- a/src/crowsill/state/commands.py
+++ b/src/crowsill/state/commands.py
@@ -81,7 +81,7 @@
 
 
 class AbandonHolders(msgspec.Struct, frozen=True, array_like=True, tag="abandon"):
-    """Give the open claims of entries that are gone an unknown outcome."""
+    """Set open claims of entries that are gone to an unknown outcome."""
 
     holders: list[str]
     at_s: float
--- a/src/crowsill/state/crash_record.py
+++ b/src/crowsill/state/crash_record.py
@@ -49,10 +49,10 @@
         version: Increases with every change.
         last_change: The changes of the latest version, or None.
 
-    >>> record, seen = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
-    >>> [record.record(item, [seen], at_s) is not None for item, at_s in (("a", 1), ("b", 2))]
+    >>> record, request = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
+    >>> [record.record(item, [request], at_s) is not None for item, at_s in (("a", 1), ("b", 2))]
     [True, True]
-    >>> record.record("b", [seen], 3), record.record("c", [seen], 2.05)
+    >>> record.record("b", [request], 3), record.record("c", [request], 2.05)
     (None, None)
     >>> record.clear([b"f"]).changed[0].crashed_instances, record.suspects
     ([], [])
@@ -167,7 +167,7 @@
         Returns:
             The counted crashes of each request for which they changed.
         """
-        shortest_s: dict[str, float] = {}
+        shortest_run_s: dict[str, float] = {}
         changed: dict[bytes, list[str]] = {}
         quarantined = [item for item in self._suspects.items() if item[1].is_quarantined]
         for key, suspect in sorted(quarantined, key=lambda item: max(item[1].ran_s, default=0.0)):
@@ -175,14 +175,16 @@
             longer = [
                 instance_id
                 for instance_id, taken_s in ran_s.items()
-                if taken_s > UNRELATED_RUN_TIME_RATIO * shortest_s.get(instance_id, math.inf)
+                if taken_s > UNRELATED_RUN_TIME_RATIO * shortest_run_s.get(instance_id, math.inf)
             ]
             if longer and not suspect.excused_instance:
                 self._suspects[key] = msgspec.structs.replace(suspect, excused_instance=longer[0])
                 changed[key] = self._suspects[key].counted_crashes
                 continue
             for instance_id, taken_s in ran_s.items():
-                shortest_s[instance_id] = min(taken_s, shortest_s.get(instance_id, math.inf))
+                shortest_run_s[instance_id] = min(
+                    taken_s, shortest_run_s.get(instance_id, math.inf)
+                )
         return changed
 
     def _forget_one(self) -> bytes:
@@ -204,9 +206,9 @@
             fingerprint: Fingerprint of the request.
             completed_at_s: Wall-clock time; minus infinity if unknown.
 
-        >>> record, seen = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
+        >>> record, request = CrashRecord(), SuspectRequest(b"f", "r1", "h/a", "s", ran_s=0.1)
         >>> record.note_completion(b"f", 10.0)
-        >>> record.record("a", [seen], 69.0), record.record("a", [seen], 70.0).version
+        >>> record.record("a", [request], 69.0), record.record("a", [request], 70.0).version
         (None, 1)
         """
         self._completed_at_s[fingerprint] = max(
--- a/src/crowsill/state/directory.py
+++ b/src/crowsill/state/directory.py
@@ -100,7 +100,7 @@
         entry = self._entries.get(instance_id)
         return None if entry is None else entry.heartbeat.instance
 
-    def changes(self, heartbeat: ReplicaHeartbeat) -> bool:
+    def would_change(self, heartbeat: ReplicaHeartbeat) -> bool:
         """Return whether recording a heartbeat would change the directory."""
         instance = heartbeat.instance
         if instance.instance_id in self._gone:
@@ -136,7 +136,7 @@
 
     def record(self, heartbeat: ReplicaHeartbeat) -> DirectoryChange | None:
         """Record a heartbeat; return the change, or None."""
-        if not self.changes(heartbeat):
+        if not self.would_change(heartbeat):
             return None
         instance = heartbeat.instance
         removed = self._remove_replaced(instance)
