--- a/src/crowsill/tenancy/grant_ledger.py
+++ b/src/crowsill/tenancy/grant_ledger.py
@@ -112,7 +112,7 @@
         missing_reserve: Units of requests that need a further record.
         is_recorded: Whether the group's record may contain units of the tenant.
         rate_per_s: Rate of the tenant, in units per second.
-        next_return_at_s: Time up to which future room is already assigned to rejected requests.
+        next_retry_at_s: Time up to which future room is already assigned to rejected requests.
     """
 
     counts: deque[tuple[float, float]] = field(default_factory=deque)
@@ -123,7 +123,7 @@
     missing_reserve: float = 0.0
     is_recorded: bool = False
     rate_per_s: float = 0.0
-    next_return_at_s: float = 0.0
+    next_retry_at_s: float = 0.0
 
     def counted(self) -> float:
         """Return the units that count now."""
@@ -236,9 +236,9 @@
         With the same time, all rejected callers would retry at once and be rejected again.
         """
         window_s = self._bounds.window_s
-        returns_at_s = max(now_s + wait_s, account.next_return_at_s)
-        account.next_return_at_s = min(returns_at_s, now_s + window_s) + units / tenant.rate_per_s
-        return min(returns_at_s - now_s, window_s)
+        retry_at_s = max(now_s + wait_s, account.next_retry_at_s)
+        account.next_retry_at_s = min(retry_at_s, now_s + window_s) + units / tenant.rate_per_s
+        return min(retry_at_s - now_s, window_s)
 
     def due(self, now_s: float) -> dict[str, list[float]]:
         """Return the units to record now by age, for each tenant.
