--- a/src/crowsill/control/fleet_observer.py
+++ b/src/crowsill/control/fleet_observer.py
@@ -98,14 +98,14 @@
         Args:
             epoch: Leadership term; the first delta of a term replaces the whole view.
         """
-        first = True
+        is_first = True
         platform_task = asyncio.create_task(self._poll_platform())
         try:
             while True:
                 await asyncio.sleep(FLEET_PUSH_INTERVAL_S)
                 if self._all_polled():
-                    self._publish_delta(epoch, full=first)
-                    first = False
+                    self._publish_delta(epoch, full=is_first)
+                    is_first = False
         finally:
             platform_task.cancel()
             for poller in self._pollers.values():
--- a/src/crowsill/pipeline/admit.py
+++ b/src/crowsill/pipeline/admit.py
@@ -90,7 +90,7 @@
     async def admit(
         self, request: ClassifiedRequest, routes: TenantRoutes, excluded: frozenset[str]
     ) -> Result[Slot, Problem]:
-        """Get a slot; wait for one if none is free.
+        """Acquire a slot, and wait for one if none is free; return a problem if it is rejected.
 
         Args:
             request: The request.
--- a/src/crowsill/pipeline/pipeline.py
+++ b/src/crowsill/pipeline/pipeline.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Filters:
-    """The filters that hold state."""
+    """The stateful filters; authentication and classification are functions."""
 
     admission: Admission
     deduplicator: Deduplicator
@@ -52,7 +52,7 @@
         """Create a pipeline.
 
         Args:
-            filters: The filters that hold state.
+            filters: The stateful filters.
             count_demand: Called with the resource of each classified request.
         """
         self._filters = filters
--- a/src/crowsill/pipeline/relay.py
+++ b/src/crowsill/pipeline/relay.py
@@ -1,4 +1,4 @@
-"""Filter for relaying: passes the response to the caller, complete or with an error.
+"""Filter for relaying: passes the response to the caller, complete or visibly incomplete.
 
 A response that is not a stream is read completely before any of it is relayed. A stream is relayed
 chunk by chunk. If it breaks, it is resumed at its engine by request id and byte offset; if that
