--- a/src/crowsill/gateway/admission.py
+++ b/src/crowsill/gateway/admission.py
@@ -100,7 +100,7 @@
         if tenant is None or not tenant.is_limited or self._is_public:
             return None
         self.units = tenant.cost(self._request.prompt_tokens + self._request.output_tokens)
-        charged = await self._context.grants.charge(tenant, self.units, deadline_at_s)
+        charged = await self._context.quota_grants.charge(tenant, self.units, deadline_at_s)
         if isinstance(charged, Rejection):
             return charged
         self._charge = charged
@@ -110,7 +110,7 @@
         """Return the charged units for the tenant's next request: no replica ran this one."""
         charge, self._charge = self._charge, None
         if charge is not None:
-            self._context.grants.return_units(charge)
+            self._context.quota_grants.return_units(charge)
 
 
 def to_monotonic_at_s(loop_deadline_s: float) -> float:
--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -9,7 +9,7 @@
 from crowsill.gateway.fingerprint import Fingerprints
 from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.pool import ConnectionPool
-from crowsill.gateway.quota import GrantClient
+from crowsill.gateway.quota import QuotaGrantClient
 from crowsill.gateway.replica_grants import ReplicaGrants
 from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.gateway.routing_table import GatewayRoutingTable
@@ -24,7 +24,7 @@
     registry: ReplicaRegistry
     pool: ConnectionPool
     random: Random
-    grants: GrantClient
+    quota_grants: QuotaGrantClient
     replica_grants: ReplicaGrants
     demand: DemandReporter
     fingerprints: Fingerprints
--- a/src/crowsill/gateway/demand.py
+++ b/src/crowsill/gateway/demand.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from crowsill.gateway.follower import GatewayFollower
-from crowsill.gateway.missing_resources import REPEAT_INTERVAL_S, MissingResources, resource_name
+from crowsill.gateway.missing_resources import REPEAT_INTERVAL_S, MissingResources, demand_key
 from crowsill.transport.replica_messages import DemandNotice
 
 
@@ -25,14 +25,14 @@
     def report_missing(self, service: str, model: str, adapter: str) -> None:
         """Report that a resource is needed and that no replica holds it."""
         now_s = asyncio.get_running_loop().time()
-        resource = resource_name(service, model, adapter)
+        resource = demand_key(service, model, adapter)
         if self._missing.is_due(resource, now_s):
             self._send_demand([resource], now_s)
 
     def keep_reporting(self, service: str, model: str, adapter: str) -> None:
         """Continue to report a resource whose request was rejected."""
         now_s = asyncio.get_running_loop().time()
-        self._missing.retain(resource_name(service, model, adapter), now_s)
+        self._missing.retain(demand_key(service, model, adapter), now_s)
 
     def _send_demand(self, resources: list[str], now_s: float) -> None:
         if not self._follower.send_notice(DemandNotice(dict.fromkeys(resources, 1))):
@@ -60,7 +60,7 @@
         """
         if not model:
             return
-        count = {resource_name(service, model, adapter): 1}
+        count = {demand_key(service, model, adapter): 1}
         self._follower.demand.add(count)
         self._urgency += urgency
         if self._urgency >= 1.0:
@@ -69,4 +69,4 @@
 
     def note_overloaded(self, service: str, model: str) -> None:
         """Count a request whose model has too few copies."""
-        self._follower.overloaded.add({resource_name(service, model, ""): 1})
+        self._follower.overloaded.add({demand_key(service, model, ""): 1})
--- a/src/crowsill/gateway/missing_resources.py
+++ b/src/crowsill/gateway/missing_resources.py
@@ -59,10 +59,10 @@
         return [resource for resource in self._retention_ends_at_s if self.is_due(resource, now_s)]
 
 
-def resource_name(service: str, model: str, adapter: str) -> str:
-    """Return the name of a model or adapter in demand reports.
+def demand_key(service: str, model: str, adapter: str) -> str:
+    """Return the key of a model or adapter in demand reports: its service and its name.
 
-    >>> resource_name("s", "m", "a1"), resource_name("s", "m", "")
+    >>> demand_key("s", "m", "a1"), demand_key("s", "m", "")
     ('s|m/a1', 's|m')
     """
     return f"{service}|{model}/{adapter}" if adapter else f"{service}|{model}"
--- a/src/crowsill/gateway/quota.py
+++ b/src/crowsill/gateway/quota.py
@@ -40,7 +40,7 @@
     expires_at_s: float
 
 
-class GrantClient:
+class QuotaGrantClient:
     """The grants of all tenants at one gateway."""
 
     def __init__(self, query: Callable[[GrantRequest, float], Awaitable[Body | None]]) -> None:
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -19,7 +19,7 @@
 from crowsill.gateway.gateway_count import GatewayCount
 from crowsill.gateway.headers import HeaderNames
 from crowsill.gateway.pool import ConnectionPool
-from crowsill.gateway.quota import GrantClient
+from crowsill.gateway.quota import QuotaGrantClient
 from crowsill.gateway.ready_server import ReadyServer
 from crowsill.gateway.replica_grants import ReplicaGrants
 from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
@@ -107,7 +107,7 @@
             hooks=hooks,
             random=self.random,
         )
-        self.grants = GrantClient(self._follower.query)
+        self.quota_grants = QuotaGrantClient(self._follower.query)
         self.replica_grants = ReplicaGrants(self._follower.query, self._notify_change)
         self.demand = DemandReporter(self._follower, gateway.keep_asking_s)
 
--- a/tests/test_gateway_tenants.py
+++ b/tests/test_gateway_tenants.py
@@ -7,7 +7,7 @@
 import pytest
 
 from crowsill.clock import monotonic_s
-from crowsill.gateway.quota import GrantClient
+from crowsill.gateway.quota import QuotaGrantClient
 from crowsill.gateway.routing_table import GatewayRoutingTable
 from crowsill.model.tenants import RateUnit, Tenant
 from crowsill.transport.messages import GrantReply, NotLeader
@@ -222,7 +222,7 @@
 
 def with_scripted_leader(here, *replies):
     leader = ScriptedLeader(*replies)
-    here.role.grants = GrantClient(leader.query)
+    here.role.quota_grants = QuotaGrantClient(leader.query)
     return leader
 
 
