--- a/src/crowsill/gateway/context.py
+++ b/src/crowsill/gateway/context.py
@@ -13,7 +13,7 @@
 from crowsill.gateway.replica_grants import ReplicaGrants
 from crowsill.gateway.replica_registry import ReplicaRecord, ReplicaRegistry
 from crowsill.gateway.routing_table import GatewayRoutingTable
-from crowsill.routing.shared_budget import SharedBudget
+from crowsill.routing.shared_budget import SharedRetryBudget
 
 
 class ExchangeContext(Protocol):
@@ -58,7 +58,7 @@
     def stop_limit_at_s(self) -> float:
         """Monotonic time at which a shutdown ends requests in flight; infinite before one."""
 
-    def budget(self, service: str) -> SharedBudget:
+    def budget(self, service: str) -> SharedRetryBudget:
         """Return the retry budget of a service."""
 
     def on_unreachable(self, record: ReplicaRecord) -> None:
--- a/src/crowsill/gateway/role.py
+++ b/src/crowsill/gateway/role.py
@@ -31,7 +31,7 @@
 from crowsill.model.route_codec import RouteCodec, decompress_document
 from crowsill.model.routes import CallerLimits
 from crowsill.model.suspects import SuspectChange
-from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
+from crowsill.routing.shared_budget import RetryBudgetLimits, SharedRetryBudget
 from crowsill.settings import GatewaySettings, Settings
 from crowsill.state.route_store import RouteDocument
 from crowsill.tenancy.identity import is_key_proof_fresh
@@ -87,7 +87,7 @@
         self._wait_limit_at_s = float("inf")
         self._stop_limit_at_s = float("inf")
         self._has_drained = False
-        self._budgets: dict[str, SharedBudget] = {}
+        self._budgets: dict[str, SharedRetryBudget] = {}
         self._callers: set[CallerConnection] = set()
         self._exchanges: dict[CallerConnection, tuple[Exchange, asyncio.Task[None]]] = {}
         self._changed = asyncio.Event()
@@ -222,15 +222,15 @@
         """Number of gateways that share the retry budgets."""
         return self._gateway_count.maximum()
 
-    def budget(self, service: str) -> SharedBudget:
+    def budget(self, service: str) -> SharedRetryBudget:
         """Return the retry budget of a service."""
         found = self._budgets.get(service)
         if found is None:
             settings = self._settings
-            limits = BudgetLimits(
+            limits = RetryBudgetLimits(
                 settings.retry_ratio, settings.retry_window_s, settings.retry_allowance
             )
-            found = self._budgets[service] = SharedBudget(limits)
+            found = self._budgets[service] = SharedRetryBudget(limits)
         return found
 
     def on_unreachable(self, record: ReplicaRecord) -> None:
--- a/src/crowsill/model/fleet.py
+++ b/src/crowsill/model/fleet.py
@@ -19,7 +19,7 @@
         replica_id: Unique name.
         kind: Kind of the replica.
         address: `IP:port` of its HTTP interface.
-        zone: Site where the replica runs.
+        zone: Zone where the replica runs.
         pool: Pool of the replica.
         memory_mib: Accelerator memory; 0 for a service.
         max_concurrency: Number of requests that it runs concurrently.
--- a/src/crowsill/model/instances.py
+++ b/src/crowsill/model/instances.py
@@ -55,7 +55,7 @@
         instance_id: Id of the incarnation; see `instance_id_of`.
         service: Service that the replica belongs to.
         address: `IP:port`.
-        zone: Site where the replica runs.
+        zone: Zone where the replica runs.
         slots: Number of requests that the replica runs concurrently.
         state: Whether it accepts new work.
         models: Loaded models; only an engine has any.
--- a/src/crowsill/placement/copy_planner.py
+++ b/src/crowsill/placement/copy_planner.py
@@ -47,7 +47,8 @@
 # block its engine when the first requests arrive.
 PREFETCH_WINDOW_S = 5.0
 # Number of engines without a cached copy that are evaluated for a model, the least loaded first.
-# On a large site, evaluating all engines would take longer than the heartbeat timeout of a leader.
+# In a large deployment, evaluating all engines would take longer than the heartbeat timeout of a
+# leader.
 MAX_UNCACHED_ENGINES = 4
 # Maximum number of loads that one step starts; the next step follows within 0.1 s.
 MAX_LOADS_PER_STEP = 4
--- a/src/crowsill/placement/planner.py
+++ b/src/crowsill/placement/planner.py
@@ -7,7 +7,7 @@
 2. An adapter is loaded beside a resident copy of its base model.
 3. If memory is free, the copy that relieves the most demand is added, if its gain exceeds the price
    of a move.
-4. If memory is still free, spare copies are kept, at another site if possible, so that a model
+4. If memory is still free, spare copies are kept, in another zone if possible, so that a model
    stays available when its engine drains or crashes.
 5. The last serving copy is never unloaded (make before break).
 """
@@ -332,7 +332,7 @@
                 self._order(OrderKind.LOAD, engine, spec, 0.0, "spare")
 
     def _best_spare_engine(self, spec: ResourceSpec) -> EngineState | None:
-        """Return the engine with room and most free memory, at a site without a copy if any."""
+        """Return the engine with room and most free memory, in a zone without a copy if any."""
         zones = {engine.zone for engine in self._copies(spec.name)}
         fallback: EngineState | None = None
         for engine in self._hosts_with_room(spec):
--- a/src/crowsill/placement/types.py
+++ b/src/crowsill/placement/types.py
@@ -39,7 +39,7 @@
     Attributes:
         replica_id: The engine.
         pool: Its pool.
-        zone: Its site.
+        zone: Its zone.
         capacity_mib: Its memory, in MiB.
         slots: Number of requests that it runs at once.
         accepts_loads: Whether it accepts new loads.
--- a/src/crowsill/routing/shared_budget.py
+++ b/src/crowsill/routing/shared_budget.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetLimits:
+class RetryBudgetLimits:
     """The retry budget of all gateways together, for one service.
 
     Attributes:
@@ -27,17 +27,17 @@
     allowance: float = 20.0
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """The share of one gateway in the retry budget of one service.
 
-    >>> budget = SharedBudget(BudgetLimits(ratio=0.0, allowance=10.0))
+    >>> budget = SharedRetryBudget(RetryBudgetLimits(ratio=0.0, allowance=10.0))
     >>> sum(budget.spend(now_s=1.0, gateways=1) for _ in range(20))
     7
     >>> budget.spend(now_s=12.0, gateways=1)
     True
     """
 
-    def __init__(self, limits: BudgetLimits) -> None:
+    def __init__(self, limits: RetryBudgetLimits) -> None:
         self._limits = limits
         self._first_attempts_at_s: deque[float] = deque()
         self._retries_at_s: deque[float] = deque()
@@ -71,7 +71,7 @@
     def refund(self) -> None:
         """Return the last retry to the budget, because it was not sent.
 
-        >>> budget = SharedBudget(BudgetLimits(ratio=0.0, allowance=2.0))
+        >>> budget = SharedRetryBudget(RetryBudgetLimits(ratio=0.0, allowance=2.0))
         >>> budget.spend(1.0, 1), budget.spend(1.0, 1), budget.refund(), budget.spend(1.0, 1)
         (True, False, None, True)
         """
--- a/src/crowsill/state/control_addresses.py
+++ b/src/crowsill/state/control_addresses.py
@@ -4,8 +4,8 @@
 group that other processes know. So the leader must be able to reach it after any data loss.
 """
 
-# Beyond this number the oldest address is dropped. A site has few control processes, and each one
-# that is permanently gone costs the leader one packet every two seconds.
+# Beyond this number the oldest address is dropped. A deployment has few control processes, and
+# each one that is permanently gone costs the leader one packet every two seconds.
 MAX_CONTROL_ADDRESSES = 64
 
 
--- a/tests/test_registered_fleet.py
+++ b/tests/test_registered_fleet.py
@@ -10,7 +10,7 @@
 from crowsill.gateway.replica_registry import ReplicaRegistry
 from crowsill.model.instances import Instance, InstanceState, LoadedModel, ReplicaHeartbeat
 from crowsill.placement.load_window import LoadWindow
-from crowsill.routing.shared_budget import BudgetLimits, SharedBudget
+from crowsill.routing.shared_budget import RetryBudgetLimits, SharedRetryBudget
 from crowsill.state.commands import OfferModels, PublishRoutes, RecordHeartbeat, RemoveInstance
 from crowsill.state.directory import Directory
 from crowsill.state.machine import StateMachine
@@ -133,8 +133,8 @@
 
 @given(st.lists(st.tuples(st.floats(0, 3), st.booleans()), max_size=200), st.integers(1, 9))
 def test_all_shares_together_keep_the_budget_in_every_window(steps, gateways):
-    limits = BudgetLimits(ratio=0.2, window_s=10.0, allowance=30.0)
-    shares = [SharedBudget(limits) for _ in range(gateways)]
+    limits = RetryBudgetLimits(ratio=0.2, window_s=10.0, allowance=30.0)
+    shares = [SharedRetryBudget(limits) for _ in range(gateways)]
     now_s, random = 0.0, Random(1)
     first: list[float] = []
     repeats: list[float] = []
