--- a/src/crowsill/consensus/election.py
+++ b/src/crowsill/consensus/election.py
@@ -96,16 +96,16 @@
         since_contact_s = now_s - core.last_leader_contact_at_s
         leader_is_live = since_contact_s < core.config.election_timeout_s
         if leader_is_live and not request.transfer:
-            is_restart_only = (
+            rejects_only_due_to_restart = (
                 request.pre_vote and core.no_leader_since_start and self._could_win(request)
             )
             core.send(
                 source,
                 VoteResponse(
-                    self._response_term(request, is_restart_only),
+                    self._response_term(request, rejects_only_due_to_restart),
                     False,
                     request.pre_vote,
-                    is_restart_only,
+                    rejects_only_due_to_restart,
                 ),
             )
             return
--- a/src/crowsill/consensus/leader.py
+++ b/src/crowsill/consensus/leader.py
@@ -109,14 +109,14 @@
     def lease_expires_at_s(self) -> float:
         """Return the time until which no other member can be elected."""
         core = self._core
-        times: list[float] = []
+        acknowledged_sent_at_s: list[float] = []
         for voter in core.membership.voters:
             if voter == core.member_id:
-                times.append(float("inf"))
+                acknowledged_sent_at_s.append(float("inf"))
             else:
-                times.append(self._progress[voter].acknowledged_sent_at_s)
-        times.sort(reverse=True)
-        confirmed_at_s = times[core.membership.quorum - 1]
+                acknowledged_sent_at_s.append(self._progress[voter].acknowledged_sent_at_s)
+        acknowledged_sent_at_s.sort(reverse=True)
+        confirmed_at_s = acknowledged_sent_at_s[core.membership.quorum - 1]
         return confirmed_at_s + core.config.lease_s
 
     def has_lease(self, now_s: float) -> bool:
--- a/src/crowsill/consensus/replacement.py
+++ b/src/crowsill/consensus/replacement.py
@@ -52,14 +52,14 @@
 
     Attributes:
         target_voters: Target number of voters.
-        dead_after_s: Time without a response after which a learner that has caught up replaces a
-            voter.
-        forget_after_s: Time without a response after which a learner is removed.
+        replace_voter_after_s: Time without a response after which a learner that has caught up
+            replaces a voter.
+        remove_learner_after_s: Time without a response after which a learner is removed.
     """
 
     target_voters: int
-    dead_after_s: float = 2.0
-    forget_after_s: float = 60.0
+    replace_voter_after_s: float = 2.0
+    remove_learner_after_s: float = 60.0
 
 
 def next_membership(
@@ -108,12 +108,14 @@
         promoted = msgspec.structs.replace(ready[0], voter=True, replaces="")
         return membership.with_member(promoted)
     if ready:
-        dead = _longest_unresponsive(membership.voters, health, repair.dead_after_s)
-        if dead is not None:
-            return membership.without_member(dead)
+        unresponsive_voter = _longest_unresponsive(
+            membership.voters, health, repair.replace_voter_after_s
+        )
+        if unresponsive_voter is not None:
+            return membership.without_member(unresponsive_voter)
     learners = [member.member_id for member in membership.members if not member.voter]
-    forgotten = _longest_unresponsive(learners, health, repair.forget_after_s)
-    return None if forgotten is None else membership.without_member(forgotten)
+    unresponsive_learner = _longest_unresponsive(learners, health, repair.remove_learner_after_s)
+    return None if unresponsive_learner is None else membership.without_member(unresponsive_learner)
 
 
 def _longest_unresponsive(
--- a/src/crowsill/transport/connection.py
+++ b/src/crowsill/transport/connection.py
@@ -216,10 +216,10 @@
         self.connections: set[Connection] = set()
 
     async def start(self, host: str, port: int) -> int:
-        """Start to listen and return the port."""
+        """Start listening and return the port."""
         self._server = await asyncio.start_server(self._accept, host, port)
-        bound: int = self._server.sockets[0].getsockname()[1]
-        return bound
+        bound_port: int = self._server.sockets[0].getsockname()[1]
+        return bound_port
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         set_peer_timeout(writer.transport, PEER_TIMEOUT_S)
--- a/src/crowsill/transport/group_contacts.py
+++ b/src/crowsill/transport/group_contacts.py
@@ -12,7 +12,8 @@
 
 # Addresses reported by processes other than a leader; beyond this number the oldest are dropped.
 MAX_REFERRALS = 16
-# A search is logged once it lasts this long: a group elects a leader within a second.
+# A search is logged once it lasts this long, and then at this interval: a group elects a leader
+# within a second.
 SEARCH_LOG_DELAY_S = 2.0
 SEARCH_LOG_INTERVAL_S = 5.0
 
--- a/src/crowsill/transport/member_links.py
+++ b/src/crowsill/transport/member_links.py
@@ -46,13 +46,13 @@
 
     def set_members(self, members: Iterable[Member]) -> None:
         """Keep streams to exactly these members, except to this one."""
-        wanted = {member for member in members if member.member_id != self._local.identity}
-        for member in set(self._tasks) - wanted:
+        other_members = {member for member in members if member.member_id != self._local.identity}
+        for member in set(self._tasks) - other_members:
             self._tasks.pop(member).cancel()
             connection = self._connections.pop(member.member_id, None)
             if connection is not None:
                 connection.close()
-        for member in wanted - set(self._tasks):
+        for member in other_members - set(self._tasks):
             self._tasks[member] = asyncio.create_task(self._keep_open(member))
 
     def note_incoming(self, connection: Connection) -> None:
--- a/src/crowsill/transport/replica_messages.py
+++ b/src/crowsill/transport/replica_messages.py
@@ -95,6 +95,6 @@
 
 
 class ReplicaLimitsNotice(msgspec.Struct, frozen=True, tag="replica-limits"):
-    """Rate limits that replicas have just advertised to a gateway or stopped to advertise."""
+    """Rate limits that replicas have just advertised to a gateway or stopped advertising."""
 
     reports: list[LimitReport] = msgspec.field(name="words")
--- a/tests/test_registered_fleet.py
+++ b/tests/test_registered_fleet.py
@@ -16,7 +16,7 @@
 from crowsill.state.machine import StateMachine
 from crowsill.state.route_store import RouteDocument
 
-REPAIR = SelfRepair(target_voters=5, dead_after_s=2.0)
+REPAIR = SelfRepair(target_voters=5, replace_voter_after_s=2.0)
 
 
 def heartbeat(instance_id="i-1", sequence=1, address="127.0.0.1:1", state="ready", models=()):
--- a/tests/test_self_repair.py
+++ b/tests/test_self_repair.py
@@ -9,7 +9,7 @@
 
 VOTERS = 5
 LOST_AT_ONCE = 2
-REPAIR = SelfRepair(VOTERS, dead_after_s=2.0, forget_after_s=20.0)
+REPAIR = SelfRepair(VOTERS, replace_voter_after_s=2.0, remove_learner_after_s=20.0)
 
 
 class SelfRepairing(Scenario):
