--- a/src/crowsill/control/replica_limits.py
+++ b/src/crowsill/control/replica_limits.py
@@ -16,10 +16,9 @@
 from crowsill.routing.advertised_limit import AdvertisedLimit
 from crowsill.tenancy.grant_ledger import MAX_GRANT_DELAY_S, GrantDecision
 
-# A bucket's capacity is the requests of this time, so that a replica under load doesn't receive the
-# requests of several seconds at once. The capacity is at least three: the reserve for urgent
-# requests, and two other requests, since with one every moment without a request would lose
-# capacity.
+# A bucket holds at most the requests allowed in this time, so that a replica under load doesn't
+# receive the requests of several seconds at once. It holds at least three: the reserve for urgent
+# requests, and two others. With one other, every moment without a request would lose capacity.
 BUCKET_PERIOD_S = 0.5
 MIN_BUCKET_REQUESTS = 3.0
 # Requests reserved for urgent requests while other requests compete.
--- a/src/crowsill/gateway/crash_guard.py
+++ b/src/crowsill/gateway/crash_guard.py
@@ -82,8 +82,9 @@
     def is_quarantined(self, fingerprint: bytes) -> bool:
         """Whether the request may be sent to no replica.
 
-        Either the group's count or this gateway's own count must reach the limit. Their union is
-        not used, because it may hold two crashes of the same moment, which count only once.
+        Either the group's count or this gateway's own count, for times without a connection to the
+        group, must reach the limit. Their union is not used, because it may contain two crashes of
+        the same moment, which count only once.
         """
         own = self._own.get(fingerprint)
         highest_count = max(
