--- a/src/crowsill/placement/adapter_jobs.py
+++ b/src/crowsill/placement/adapter_jobs.py
@@ -43,8 +43,8 @@
     def fill_free_slots(self) -> list[Job]:
         """Return jobs that load adapters of models in demand before requests wait for them.
 
-        An engine accepts no adapter during a load, so an adapter that is there before saves
-        requests that wait.
+        An engine accepts no adapter while it loads a model, so requests for an adapter that was
+        loaded before do not have to wait for that load.
         """
         jobs: list[Job] = []
         for engine in self._view.engines:
