--- a/src/crowsill/entry/role.py
+++ b/src/crowsill/entry/role.py
@@ -124,11 +124,11 @@
         loads = self._selector.loads
         for state in delta.changed:
             report = state.report
-            loads.reported(state.description.replica_id, report.running + report.waiting)
+            loads.note_reported(state.description.replica_id, report.running + report.waiting)
         for update in delta.loads:
             updated_id = self._follower.fleet.replica_id_by_number.get(update.number)
             if updated_id is not None:
-                loads.reported(updated_id, update.in_flight)
+                loads.note_reported(updated_id, update.in_flight)
         if delta.changed or delta.removed:
             self._candidates.rebuild(self._follower.fleet)
         self._admission.dispatch_waiting()
--- a/src/crowsill/metrics.py
+++ b/src/crowsill/metrics.py
@@ -159,14 +159,17 @@
 
 
 # Limits the size of the metrics page, which is scraped every few seconds.
-MOST_TENANTS = 100
+MAX_COUNTED_TENANTS = 100
 _counted_tenants: set[str] = set()
 
 
 def note_tenant_units(tenant: str, result: str, units: float) -> None:
-    """Count units granted or refused to a tenant; after `MOST_TENANTS`, as tenant `others`."""
+    """Count units granted or refused to a tenant.
+
+    Beyond `MAX_COUNTED_TENANTS` tenants, further ones are counted as tenant `others`.
+    """
     if tenant not in _counted_tenants:
-        if len(_counted_tenants) >= MOST_TENANTS:
+        if len(_counted_tenants) >= MAX_COUNTED_TENANTS:
             tenant = "others"
         _counted_tenants.add(tenant)
     TENANT_UNITS.labels(tenant, result).inc(units)
--- a/src/crowsill/pipeline/admit.py
+++ b/src/crowsill/pipeline/admit.py
@@ -115,7 +115,7 @@
         if selection is None:
             return None
         replica_id = selection.replica.description.replica_id
-        self.selector.loads.started(replica_id)
+        self.selector.loads.note_started(replica_id)
         self.selector.circuit(replica_id).started()
         self.on_slot_granted(replica_id)
         return Slot(selection, now_s)
@@ -198,7 +198,7 @@
         slot.released = True
         now_s = monotonic_s()
         replica_id = slot.selection.replica.description.replica_id
-        self.selector.ended(replica_id, now_s - slot.started_at_s, succeeded, now_s)
+        self.selector.note_ended(replica_id, now_s - slot.started_at_s, succeeded, now_s)
         self.dispatch_waiting()
 
     def dispatch_waiting(self) -> None:
--- a/src/crowsill/routing/load.py
+++ b/src/crowsill/routing/load.py
@@ -41,7 +41,7 @@
             load = self._loads[replica_id] = ReplicaLoad()
         return load
 
-    def reported(self, replica_id: str, in_flight: int) -> None:
+    def note_reported(self, replica_id: str, in_flight: int) -> None:
         """Apply a report of the requests in flight at a replica.
 
         The report includes this entry's requests, so they are subtracted. It is older than the
@@ -50,11 +50,11 @@
         load = self.of(replica_id)
         load.others_in_flight = max(0, in_flight - load.own_in_flight)
 
-    def started(self, replica_id: str) -> None:
+    def note_started(self, replica_id: str) -> None:
         """Count a request that was sent to a replica."""
         self.of(replica_id).own_in_flight += 1
 
-    def ended(self, replica_id: str, service_s: float) -> None:
+    def note_ended(self, replica_id: str, service_s: float) -> None:
         """Count a request that ended at a replica after `service_s` seconds."""
         load = self.of(replica_id)
         load.own_in_flight -= 1
--- a/src/crowsill/routing/selection.py
+++ b/src/crowsill/routing/selection.py
@@ -85,7 +85,7 @@
         """Return the circuit breaker of a replica."""
         return self.circuits.setdefault(replica_id, Circuit())
 
-    def ended(
+    def note_ended(
         self, replica_id: str, service_s: float, succeeded: bool | None, now_s: float
     ) -> None:
         """Record the end of a request at a replica.
@@ -97,7 +97,7 @@
                 about its health.
             now_s: Monotonic time in seconds.
         """
-        self.loads.ended(replica_id, service_s)
+        self.loads.note_ended(replica_id, service_s)
         circuit = self.circuit(replica_id)
         if succeeded is None:
             circuit.abandoned()
--- a/tests/test_cache.py
+++ b/tests/test_cache.py
@@ -41,7 +41,7 @@
     hinted = selector.select(request(prefix=5), states, 0.0)
     assert hinted.replica is other and hinted.reason is SelectionReason.CACHE_HINT
     for _ in range(6):
-        selector.loads.started(name)
+        selector.loads.note_started(name)
     assert selector.select(request(prefix=5), states, 0.0).replica is not other
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -108,7 +108,7 @@
     assert again.replica is first.replica
     name = first.replica.description.replica_id
     for _ in range(5):
-        selector.loads.started(name)
+        selector.loads.note_started(name)
     moved = selector.select(request(prefix=42), states, 0.0)
     assert moved.replica is not first.replica
 
@@ -117,7 +117,7 @@
     selector = Selector(Random(1), headroom=0.5)
     only = [replica("a", slots=4)]
     for _ in range(2):
-        selector.loads.started("a")
+        selector.loads.note_started("a")
     selector.loads.of("a").others_in_flight = 0
     assert selector.select(request(Urgency.PATIENT), only, 0.0) is None
     assert selector.select(request(Urgency.URGENT), only, 0.0) is not None
