--- a/src/crowsill/entry/follower.py
+++ b/src/crowsill/entry/follower.py
@@ -1,8 +1,9 @@
 """Keeps an entry up to date with the control group: configuration, fleet view and freshness.
 
-The entry holds one stream to any control member. A heartbeat every `ENTRY_HEARTBEAT_INTERVAL_S`
-carries its revision and its demand. The reply, covered by the leader's lease, confirms the revision
-that is in effect. The entry is current for `ENTRY_FRESHNESS_S` after it sent a confirmed heartbeat.
+The entry keeps one stream open to any control member. A heartbeat every
+`ENTRY_HEARTBEAT_INTERVAL_S` carries its revision and its demand. The reply, covered by the leader's
+lease, confirms the revision that is in effect. The entry is current for
+`ENTRY_FRESHNESS_S` after it sent a confirmed heartbeat.
 """
 
 import asyncio
--- a/src/crowsill/gateway/attempt.py
+++ b/src/crowsill/gateway/attempt.py
@@ -212,7 +212,7 @@
         return AttemptEnd(AttemptResult.COMPLETE, status, self._reason, headers, body)
 
     def on_break(self, reason: Break) -> None:
-        """Handle a response that broke off."""
+        """Handle a response that was interrupted."""
         result = AttemptResult.TRUNCATED if self._relaying else AttemptResult.FAILED
         broken = reason in (Break.CLOSED, Break.RESET)
         relayed = self._relaying
--- a/src/crowsill/gateway/call.py
+++ b/src/crowsill/gateway/call.py
@@ -32,7 +32,7 @@
     """Collects one response; implements `ResponseSink`.
 
     Attributes:
-        ended: Resolves to the response, or None if it broke off.
+        ended: Resolves to the response, or None if it was interrupted.
     """
 
     def __init__(self) -> None:
--- a/src/crowsill/gateway/crash_guard.py
+++ b/src/crowsill/gateway/crash_guard.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of requests that were running when replicas crashed. Pure.
+"""Tracks requests that were running when replicas crashed, for one gateway. Pure.
 
 It combines the control group's crash record with this gateway's own observations, which count until
 the group has recorded them.
@@ -83,8 +83,8 @@
         """Whether the request may be sent to no replica.
 
         Either the group's count or this gateway's own count, for times without a connection to the
-        group, must reach the limit. Their union is not used, because it may contain two crashes of
-        the same moment, which count only once.
+        group, must reach the limit. Their union is not used, because it may contain two
+        simultaneous crashes, which count only once.
         """
         own = self._own.get(fingerprint)
         highest_count = max(
--- a/src/crowsill/gateway/crash_watch.py
+++ b/src/crowsill/gateway/crash_watch.py
@@ -1,4 +1,4 @@
-"""Detects whether a replica whose response broke off has crashed, and reports it to the group.
+"""Detects whether a replica with an interrupted response has crashed, and reports it to the group.
 
 A broken response alone proves little: connections are reset, links fail, responses are malformed. A
 replica counts as crashed if all of its connections are closed and its machine refuses new ones.
@@ -43,7 +43,7 @@
 
 
 class CrashWatch:
-    """Checks replicas whose responses broke off."""
+    """Checks replicas whose responses were interrupted."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._on_crashed = on_crashed
         self._loop = asyncio.get_running_loop()
         self._broken: dict[str, list[SuspectRequest]] = {}
-        self._broke_at_s: dict[str, float] = {}
+        self._interrupted_at_s: dict[str, float] = {}
         # By instance: requests whose callers disconnected while they ran, with the monotonic time.
         self._abandoned: dict[str, deque[tuple[float, SuspectRequest]]] = {}
         self._checks: dict[str, asyncio.Task[bool]] = {}
@@ -76,13 +76,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def note_broken_response(self, instance: Instance, request: SuspectRequest) -> None:
-        """Check a replica that broke off the response to a request."""
+        """Check a replica that interrupted its response to a request."""
         # A draining replica that stops with requests in flight has not crashed.
         if not instance.accepts_work:
             return
         instance_id = instance.instance_id
         self._broken.setdefault(instance_id, []).append(request)
-        self._broke_at_s.setdefault(instance_id, self._loop.time())
+        self._interrupted_at_s.setdefault(instance_id, self._loop.time())
         if instance_id in self._crashed:
             self._record_crash(instance)
         elif instance_id not in self._checks:
@@ -116,12 +116,12 @@
             or instance_id in self._checks
         ):
             return
-        self._broke_at_s.setdefault(instance_id, self._loop.time())
+        self._interrupted_at_s.setdefault(instance_id, self._loop.time())
         self._start_check(instance)
 
     def _recently_abandoned(self, instance_id: str) -> list[SuspectRequest]:
-        """Return requests abandoned within `ABANDONED_MEMORY_S` before the instance broke off."""
-        since_at_s = self._broke_at_s.get(instance_id, self._loop.time()) - ABANDONED_MEMORY_S
+        """Return requests abandoned within `ABANDONED_MEMORY_S` before the interruption."""
+        since_at_s = self._interrupted_at_s.get(instance_id, self._loop.time()) - ABANDONED_MEMORY_S
         return [
             request
             for abandoned_at_s, request in self._abandoned.get(instance_id, ())
@@ -138,7 +138,7 @@
         self._abandoned.pop(instance_id, None)
 
     async def has_crashed(self, instance_id: str) -> bool:
-        """Whether a replica whose response broke off has crashed; waits for a running check."""
+        """Whether a replica with an interrupted response has crashed; waits for a running check."""
         check = self._checks.get(instance_id)
         if check is not None:
             await asyncio.wait([check], timeout=MAX_CRASH_CHECK_WAIT_S)
@@ -154,7 +154,7 @@
                 self._record_crash(instance)
                 return True
         self._broken.pop(instance.instance_id, None)
-        self._broke_at_s.pop(instance.instance_id, None)
+        self._interrupted_at_s.pop(instance.instance_id, None)
         return False
 
     async def _refuses_connections(self, instance: Instance) -> bool:
@@ -178,7 +178,7 @@
             self._broken.pop(instance_id, []) + self._recently_abandoned(instance_id)
         )
         self._abandoned.pop(instance_id, None)
-        crashed_at_s = self._broke_at_s.pop(instance_id, self._loop.time())
+        crashed_at_s = self._interrupted_at_s.pop(instance_id, self._loop.time())
         for request in requests:
             self._guard.note_crash(
                 request.fingerprint, instance_id, crashed_at_s - request.ran_s, crashed_at_s
--- a/src/crowsill/gateway/follower.py
+++ b/src/crowsill/gateway/follower.py
@@ -1,10 +1,10 @@
 """Keeps a gateway up to date with the control group: routes, replicas and crash record.
 
-The gateway holds one stream to a control member. It prefers a member of its own zone, because every
-change is pushed to every gateway and would otherwise cross between zones once for each. A heartbeat
-every `HEARTBEAT_S` carries the gateway's versions and its demand; the reply confirms the versions
-that are current. If a member can't have them confirmed by the leader, or lacks them itself, the
-gateway switches to another member at once.
+The gateway keeps one stream open to a control member. It prefers a member of its own zone, because
+every change is pushed to every gateway and would otherwise cross between zones once for each. A
+heartbeat every `HEARTBEAT_S` carries the gateway's versions and its demand; the reply confirms the
+versions that are current. If a member can't have them confirmed by the leader, or does not have
+them itself, the gateway switches to another member at once.
 """
 
 import asyncio
--- a/src/crowsill/gateway/outcome.py
+++ b/src/crowsill/gateway/outcome.py
@@ -1,7 +1,8 @@
 """Ends a request for its caller: with a replica's response, a rejection, or a closed connection.
 
 A rejection reports "not run" only when that is known, and then carries a `Retry-After`. A response
-that was relayed in part ends with an aborted connection, so that it can't pass for a complete one.
+that was relayed in part ends with an aborted connection, so that the caller detects that it is
+incomplete.
 """
 
 from crowsill.errors import ErrorKind, Problem
--- a/src/crowsill/gateway/replica_connection.py
+++ b/src/crowsill/gateway/replica_connection.py
@@ -20,7 +20,7 @@
 
 
 class Break(StrEnum):
-    """Why a response broke off."""
+    """Why a response was interrupted."""
 
     CLOSED = "closed"
     RESET = "reset"
@@ -41,7 +41,7 @@
         """Handle the end of a complete response."""
 
     def on_break(self, reason: Break) -> None:
-        """Handle a response that broke off."""
+        """Handle a response that was interrupted."""
 
 
 class ReplicaConnection(asyncio.Protocol):
--- a/src/crowsill/gateway/selection.py
+++ b/src/crowsill/gateway/selection.py
@@ -1,6 +1,6 @@
 """Chooses the replica for a request from what the gateway knows. Pure.
 
-Among hundreds of gateways, each one sends a request to a given replica only now and then. Its own
+Among hundreds of gateways, each one sends a request to a given replica only occasionally. Its own
 requests show nothing about most replicas, so a gateway also weighs the requests of the others.
 Those are reported twice a second: if all gateways followed a report to the least loaded replica,
 they would overload it before the next report. So what others have in flight only decides between
--- a/src/crowsill/gateway/wait_estimates.py
+++ b/src/crowsill/gateway/wait_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates when a replica may take a request that none takes now. Pure."""
+"""Estimates when a replica can accept a request that none accepts now. Pure."""
 
 from crowsill.gateway.replica_registry import ReplicaRecord
 from crowsill.gateway.request import CallerRequest
@@ -24,7 +24,7 @@
 CAPACITY_WAIT_S = 0.3
 CAPACITY_HALVING_S = 1.0
 NO_REPLICA_WAIT_S = 0.5
-# Shares of waiting requests that are sent in the end, by the reason why they wait.
+# Probability that a waiting request is eventually sent to a replica, by the reason for its wait.
 REQUESTED_LOAD_PROBABILITY = 0.35
 ADAPTER_LOAD_PROBABILITY = 0.42
 CAPACITY_PROBABILITY = 0.72
@@ -32,8 +32,8 @@
 # soon.
 LOADING_PROBABILITY = 0.9
 NO_REPLICA_PROBABILITY = 0.3
-# After a backoff a replica accepts one request first and may ask for another backoff; what a rate
-# limit allows may go to other gateways.
+# After a backoff a replica accepts one request first and may ask for another backoff; requests of
+# other gateways may use up the rate that a limit permits.
 REOPENED_PROBABILITY = 0.5
 
 
@@ -47,10 +47,10 @@
     now_s: float,
     is_urgent: bool = True,
 ) -> WaitEstimate:
-    """Return when a replica may take a request.
+    """Return when a replica may accept a request.
 
     Args:
-        reason: Why none does now.
+        reason: Why none accepts it now.
         request: The request.
         records: Instances of its service.
         weights: The model that it needs, or None if the routes don't define it.
@@ -111,7 +111,7 @@
 
 
 def _until_open(record: ReplicaRecord | None, now_s: float, is_urgent: bool) -> WaitEstimate:
-    """Return when a replica opens: the time is exact, but other requests may come first."""
+    """Return when a replica opens: the time is exact, but other requests may be sent first."""
     closed_s = 0.0 if record is None else record.availability.opens_at_s(is_urgent) - now_s
     return WaitEstimate(closed_s, REOPENED_PROBABILITY, closed_s)
 
--- a/src/crowsill/gateway/waiting.py
+++ b/src/crowsill/gateway/waiting.py
@@ -37,9 +37,9 @@
     """A request that is rejected because no replica can take it.
 
     Attributes:
-        reason: Why none could when it was rejected.
+        reason: Why no replica could take it when it was rejected.
         retry_after_s: Time after which the caller should retry.
-        detail: What closes the replica that opens first, and for how long; for the error message.
+        detail: Why the replica that opens first is closed, and for how long; for the error message.
     """
 
     reason: NoReplicaReason
@@ -130,7 +130,7 @@
         """Return the rejection of the request, with a time to retry.
 
         Args:
-            reason: Why no replica takes it.
+            reason: Why no replica can take it.
             rank: Its rank.
         """
         estimate, budget = self._estimate(reason), self._wait_budget()
--- a/src/crowsill_lab/soak/losses.py
+++ b/src/crowsill_lab/soak/losses.py
@@ -1,4 +1,4 @@
-"""Injects losses: disks, machines, power of all machines, and seeds that know the group."""
+"""Injects losses: disks, machines, power of all machines, and seeds with data of the group."""
 
 import asyncio
 import signal
@@ -62,7 +62,7 @@
         await self._lose_power(disks, changes_seeds=random.random() < 0.5)
 
     async def lose_all(self) -> None:
-        """Lose power, as many disks as the group tolerates, and all seeds that know the group."""
+        """Lose power, as many disks as the group tolerates, and all seeds with its data."""
         await self._lose_power(self._site.tolerated_losses, changes_seeds=True)
 
     async def _lose_power(self, disks: int, changes_seeds: bool) -> None:
