--- a/src/crowsill/consensus/invariants.py
+++ b/src/crowsill/consensus/invariants.py
@@ -10,7 +10,7 @@
 
     Args:
         condition: The invariant.
-        statement: The invariant in words.
+        statement: Description of the invariant, for the error message.
     """
     if not condition:
         raise InvariantError(statement)
--- a/src/crowsill/consensus/messages.py
+++ b/src/crowsill/consensus/messages.py
@@ -81,8 +81,8 @@
         previous_term: Term of that entry.
         entries: Entries in order, without gaps.
         commit_index: The leader's commit index.
-        sent_at_s: The leader's clock at the time of sending; the response that echoes it renews the
-            lease.
+        sent_at_s: The leader's clock when it sent the message; the response that echoes it renews
+            the lease.
     """
 
     term: int
@@ -121,7 +121,7 @@
         offset: Position of `data` in the snapshot, in bytes.
         data: The bytes of this chunk.
         last: Whether this is the last chunk.
-        sent_at_s: The leader's clock at the time of sending.
+        sent_at_s: The leader's clock when it sent the message.
     """
 
     term: int
--- a/src/crowsill/consensus/types.py
+++ b/src/crowsill/consensus/types.py
@@ -54,7 +54,7 @@
 
     @property
     def lease_s(self) -> float:
-        """Time for which an acknowledged heartbeat proves leadership, counted from its sending."""
+        """Time for which an acknowledged heartbeat proves leadership, after it was sent."""
         return self.election_timeout_s * (1.0 - self.clock_drift)
 
 
--- a/src/crowsill/model/replica_limits.py
+++ b/src/crowsill/model/replica_limits.py
@@ -8,7 +8,9 @@
 
 
 class LimitReport(msgspec.Struct, frozen=True, gc=False, array_like=True):
-    """The known rate limit of one incarnation of a replica. Ages refer to the time of sending.
+    """The known rate limit of one incarnation of a replica.
+
+    Ages are measured at the time when the report is sent.
 
     Attributes:
         instance_id: Id of the incarnation.
--- a/src/crowsill/model/suspects.py
+++ b/src/crowsill/model/suspects.py
@@ -51,7 +51,7 @@
         request_id: The caller's id of this request, for diagnosis.
         host_and_path: Host and path, cut to `MAX_HOST_AND_PATH_LENGTH` characters.
         service: Service of the request.
-        ran_s: Time from the sending of the request to the crash.
+        ran_s: Time from when the request was sent to the crash.
         known_crashes: Crashes under this request that the gateway knew of when it sent it.
     """
 
@@ -71,7 +71,7 @@
         crashed_instances: Ids of the incarnations that crashed while they ran the request.
         first_crash_at_s: Wall-clock time of the first crash.
         last_crash_at_s: Wall-clock time of the last crash that was counted.
-        ran_s: Time from the sending of the request to each crash, in the order of
+        ran_s: Time from when the request was sent to each crash, in the order of
             `crashed_instances`.
         excused_instance: Incarnation whose crash is attributed to another request only; empty
             if there is none.
--- a/src/crowsill/placement/core.py
+++ b/src/crowsill/placement/core.py
@@ -78,7 +78,7 @@
         self._pacer = LoadPacer(limits.loads_per_s, limits.concurrent_loads, now_s)
 
     def is_ready_to_plan(self, now_s: float) -> bool:
-        """Whether all reports came to this leader and are newer than all earlier settlements."""
+        """Whether all reports reached this leader and are newer than all earlier settlements."""
         waited = now_s - self._started_at_s > self._limits.longest_report_lag_s
         return waited and self._fleet.epoch == self.term
 
--- a/src/crowsill/placement/planner.py
+++ b/src/crowsill/placement/planner.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """Orders to give now: loads that fit, and unloads that make room for other resources."""
+    """Orders to issue now: loads that fit, and unloads that make room for other resources."""
 
     orders: list[PlannedOrder] = field(default_factory=list)
 
--- a/src/crowsill/placement/rare_models.py
+++ b/src/crowsill/placement/rare_models.py
@@ -1,4 +1,4 @@
-"""Turns of rare models at the engines, so that each of them is loaded now and then. Pure.
+"""Schedules extra loads (turns) of rare models, so that each is eventually loaded. Pure.
 
 The planner compares the gain of a load with the cost of blocking its engine. Under high demand,
 that cost always exceeds the gain of a model that is requested only every few seconds. So a model
@@ -30,7 +30,7 @@
     def __init__(
         self, view: ServiceView, value: CopyValue, models: dict[str, ModelWeights]
     ) -> None:
-        """Create the turns of one service.
+        """Create the scheduler of one service.
 
         Args:
             view: The service.
--- a/src/crowsill/placement/settlement.py
+++ b/src/crowsill/placement/settlement.py
@@ -36,7 +36,7 @@
         report: The newest report of the engine.
         checks_fence: Whether the engine rejects older orders.
         has_no_copy_in_flight: Whether the report was made after every copy that any leader sent had
-            arrived or was lost. An earlier report may lack the effect of a late copy.
+            arrived or was lost. An earlier report may not show the effect of a late copy.
         rejected: Whether the engine has rejected the order for lack of memory.
     """
 
--- a/src/crowsill/routing/advertised_limit.py
+++ b/src/crowsill/routing/advertised_limit.py
@@ -19,7 +19,7 @@
 # Lower bound of the rate from which the ramp starts.
 MIN_RAMP_RATE_PER_S = 1.0
 # A replica that advertises a limit of 0 still receives one request in ten seconds: without any
-# response no gateway could learn that the limit is over.
+# response no gateway could detect that the limit was lifted.
 PROBE_RATE_PER_S = 0.1
 # A limit expires when it was not advertised for this time and for this number of its intervals.
 LIMIT_LIFETIME_S = 60.0
@@ -129,15 +129,15 @@
         AdvertisedLimit(per_s=1.0, advertised_at_s=6.0, lifted_at_s=7.5)
         """
         advertised_at_s = now_s - report.advertised_ago_s
-        ends = [
+        lifts_at_s = [
             self.lifted_at_s,
             None if report.lifted_ago_s is None else now_s - report.lifted_ago_s,
         ]
         if advertised_at_s > self.advertised_at_s:
             self.per_s, self.advertised_at_s = report.per_s, advertised_at_s
-        later_ends = [
+        later_lifts_at_s = [
             lifted_at_s
-            for lifted_at_s in ends
+            for lifted_at_s in lifts_at_s
             if lifted_at_s is not None and lifted_at_s > self.advertised_at_s
         ]
-        self.lifted_at_s = min(later_ends, default=None)
+        self.lifted_at_s = min(later_lifts_at_s, default=None)
--- a/src/crowsill/transport/member_links.py
+++ b/src/crowsill/transport/member_links.py
@@ -14,7 +14,7 @@
 from crowsill.transport.stream import LocalIdentity, ProtocolError
 
 INITIAL_RETRY_S = 0.05
-# A restarted member must be reachable again before an election ends without it.
+# A restarted member must be reachable again before an election completes without it.
 MAX_RETRY_S = 0.3
 # A stream may go silent permanently without a reset while new streams work. Consensus messages have
 # no reply on the same stream, so only a probe detects this. In a test in which all streams of a
--- a/src/crowsill/transport/replica_messages.py
+++ b/src/crowsill/transport/replica_messages.py
@@ -26,7 +26,7 @@
     Attributes:
         instance_id: Id of the incarnation that crashed.
         requests: Requests of this gateway that were running there.
-        ago_s: Seconds from the crash to the sending of this message.
+        ago_s: Seconds from the crash until this message was sent.
     """
 
     instance_id: str = msgspec.field(name="life")
@@ -41,7 +41,7 @@
 
     Attributes:
         fingerprints: Fingerprints of the requests.
-        completed_ago_s: Seconds from the completion of each request to the sending of this message,
+        completed_ago_s: Seconds from the completion of each request until this message was sent,
             in the same order; infinite if the gateway no longer knows it.
     """
 
--- a/src/crowsill/transport/stream.py
+++ b/src/crowsill/transport/stream.py
@@ -64,7 +64,7 @@
     """Derive the shared key from a file of at least 16 bytes.
 
     Without a file all processes use the same well-known key. The handshake then only distinguishes
-    crowsill's processes from others, and the network must block access by strangers.
+    crowsill's processes from others, and the network must block untrusted hosts.
     """
     if not str(file_name):
         return Success(DEFAULT_CLUSTER_KEY)
