--- a/src/crowsill/control/redirector.py
+++ b/src/crowsill/control/redirector.py
@@ -13,7 +13,7 @@
 import falcon
 import falcon.asgi
 
-from crowsill.api.common import answer_problem, new_application, request_id_of
+from crowsill.api.common import new_application, request_id_of, write_problem
 from crowsill.api.server import HttpServer
 from crowsill.clock import monotonic_s
 from crowsill.control.announcer import accept_referral
@@ -24,9 +24,14 @@
 from crowsill.transport.connection import Connection, ConnectionServer
 from crowsill.transport.group_contacts import GroupContacts
 from crowsill.transport.leader_client import format_address, parse_address
-from crowsill.transport.membership_messages import BlankCheck, FindGroup, GroupReferral, MemberBlank
+from crowsill.transport.membership_messages import (
+    EmptyCheck,
+    EmptyCheckReply,
+    FindGroup,
+    GroupReferral,
+)
 from crowsill.transport.messages import Body, NotLeader
-from crowsill.transport.question import ask_leader
+from crowsill.transport.query import query_leader
 from crowsill.transport.stream import LocalIdentity
 
 # Interval of the search while no leader is known; a start takes about a second.
@@ -65,10 +70,10 @@
             known = self.leader
             self.leader = await self._find()
             if self.leader is None:
-                self.contacts.missed(monotonic_s())
+                self.contacts.note_not_found(monotonic_s())
                 await self._wait_for_referral(SEARCH_INTERVAL_S)
                 continue
-            self.contacts.found()
+            self.contacts.note_found()
             if self.leader != known:
                 log_event(Event.LEADER_FOUND, leader=format_address(self.leader))
             # A new leader announces itself at once, so callers aren't redirected to the former
@@ -97,12 +102,12 @@
     async def _query(self, target: Address) -> Address | None:
         """Query one process and the one that it refers to; return the leader's address."""
         question = FindGroup(format_address(self._own))
-        leader, reply = await ask_leader(target, question, self._local, REPLY_TIMEOUT_S)
+        leader, reply = await query_leader(target, question, self._local, REPLY_TIMEOUT_S)
         if isinstance(reply, NotLeader):
-            self.contacts.refer([parse_address(member) for member in reply.members])
+            self.contacts.add_referrals([parse_address(member) for member in reply.members])
         if not isinstance(reply, GroupReferral):
             return None
-        self.contacts.learn([parse_address(member) for member in reply.members])
+        self.contacts.set_members([parse_address(member) for member in reply.members])
         return leader
 
 
@@ -126,7 +131,7 @@
         leader = self._locator.leader
         if leader is None:
             problem = Problem(ErrorKind.NO_LEADER, "no leader of the control group is known")
-            answer_problem(response, problem, request_id_of(request))
+            write_problem(response, problem, request_id_of(request))
             return
         response.status = falcon.HTTP_307
         response.location = f"http://{leader.host}:{self._port}{request.relative_uri}"
@@ -178,15 +183,17 @@
         self._locator.contacts.seeds = control.seeds
 
     async def _on_request(self, connection: Connection, body: Body) -> Body:
-        if isinstance(body, BlankCheck):
-            return MemberBlank(identity="", is_blank=True, may_vote=False)
+        if isinstance(body, EmptyCheck):
+            return EmptyCheckReply(identity="", is_empty=True, may_vote=False)
         locator = self._locator
         if isinstance(body, GroupReferral):
             acknowledgement = accept_referral(locator.contacts, connection, body)
             locator.note_referral()
             return acknowledgement
         leader = None if locator.leader is None else format_address(locator.leader)
-        return NotLeader(leader, [format_address(item) for item in locator.contacts.known()])
+        return NotLeader(
+            leader, [format_address(item) for item in locator.contacts.known_addresses()]
+        )
 
     async def drain(self) -> None:
         """Do nothing: this process has no state to hand over."""
--- a/tests/test_group_contacts.py
+++ b/tests/test_group_contacts.py
@@ -11,7 +11,7 @@
 from crowsill.state.commands import RecordControlAddress
 from crowsill.state.control_addresses import MAX_CONTROL_ADDRESSES
 from crowsill.state.machine import StateMachine
-from crowsill.transport.group_contacts import MOST_REFERRED, GroupContacts
+from crowsill.transport.group_contacts import MAX_REFERRALS, GroupContacts
 from crowsill.transport.messages import Pong, Submitted
 
 LEADER, FOLLOWER, EMPTY = (Address("10.0.0.1", 7), Address("10.0.0.2", 7), Address("10.0.0.3", 7))
@@ -24,34 +24,34 @@
 
 def test_targets_are_members_then_referrals_then_seeds():
     known_contacts = contacts([SEED])
-    known_contacts.learn([LEADER])
-    known_contacts.refer([FOLLOWER])
+    known_contacts.set_members([LEADER])
+    known_contacts.add_referrals([FOLLOWER])
     assert known_contacts.targets() == [LEADER, FOLLOWER, SEED]
 
 
 def test_referrals_never_replace_the_members_reported_by_a_leader():
     # A former member's response must not lead a process back to members that no longer exist.
     known_contacts = contacts([SEED])
-    known_contacts.learn([LEADER])
-    known_contacts.refer([Address("10.9.0.1", number) for number in range(100)])
+    known_contacts.set_members([LEADER])
+    known_contacts.add_referrals([Address("10.9.0.1", number) for number in range(100)])
     assert known_contacts.targets()[0] == LEADER and known_contacts.targets()[-1] == SEED
-    assert len(known_contacts.targets()) == MOST_REFERRED + 2
+    assert len(known_contacts.targets()) == MAX_REFERRALS + 2
 
 
 def test_members_reported_by_a_leader_replace_referrals():
     # Each outdated address costs a search 0.3 s. Sixteen of them, left from machines that were
     # replaced one by one, would delay a gateway that has just lost all members by 5 s.
     known_contacts = contacts([SEED])
-    known_contacts.refer([Address("10.9.0.1", number) for number in range(MOST_REFERRED)])
-    known_contacts.learn([LEADER])
+    known_contacts.add_referrals([Address("10.9.0.1", number) for number in range(MAX_REFERRALS)])
+    known_contacts.set_members([LEADER])
     assert known_contacts.targets() == [LEADER, SEED]
 
 
 def test_empty_response_removes_no_member():
     known_contacts = contacts()
-    known_contacts.learn([LEADER])
-    known_contacts.learn([])
-    assert known_contacts.known() == [LEADER]
+    known_contacts.set_members([LEADER])
+    known_contacts.set_members([])
+    assert known_contacts.known_addresses() == [LEADER]
 
 
 def test_control_addresses_are_bounded_and_survive_a_snapshot():
@@ -73,7 +73,7 @@
         self.silent = [EMPTY]
         self.seeds = [LEADER, SEED]
         self.machine = StateMachine()
-        monkeypatch.setattr(announcer_module, "ask_once", self.ask_once)
+        monkeypatch.setattr(announcer_module, "query_once", self.query_once)
         ports = AnnouncerPorts(
             members=lambda: [LEADER, FOLLOWER, EMPTY],
             silent_members=lambda: self.silent,
@@ -86,7 +86,7 @@
     async def submit(self, command):
         return Submitted(self.machine.apply(command))
 
-    async def ask_once(self, address, referral, _local, _timeout_s):
+    async def query_once(self, address, referral, _local, _timeout_s):
         self.announced_to.append(address)
         assert referral.members == ["10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"]
         return Pong() if address in self.responding else None
